--- a/src/core/passthrough/enginesplit.cpp
+++ b/src/core/passthrough/enginesplit.cpp
@@ -11,34 +11,36 @@
 namespace
 {
 
-/// Time in which the remembered demand falls to a third: the split must not follow every gap between arrivals, because a
-/// reader's engine that was lent to shortPrompts holds prompts of theirs to the end.
-constexpr Duration DemandMemory = std::chrono::seconds(4);
-/// Part of an engine's batch that shortPrompts fill; the rest is for the spread between engines. Each engine more for readers is a
-/// sixtieth of a large fleet's reading: with 0.65, 3 in 100 fewer quotes were on time in its bursts. At 0.9 one short answer in ten more stutters.
-constexpr double ShortPromptFill = 0.75;
-/// Part of an engine's time that shortPrompts' prompts fill. Failure: prompts of a thousand tokens with short answers fill an engine's
-/// time long before its batch. Symptom: the engines kept for them read all the time, and answers there reach their deadlines.
-constexpr double ShortPromptReading = 0.5;
-/// Readers keep at least this part of the engines, shortPrompts at most the rest.
-constexpr double MostShortPromptPart = 0.6;
+/// Time constant with which the recorded demand decays. The division must not follow every gap between arrivals: an engine for long
+/// prompts that is lent to short ones keeps their requests until these have ended.
+constexpr Duration DemandDecayTime = std::chrono::seconds(4);
+/// Share of an engine's batch that short-prompt requests may fill; the rest absorbs the imbalance between engines. In a large fleet, each
+/// engine is a sixtieth of the capacity for long prompts: with 0.65, 3 in 100 fewer quotes were on time in bursts. With 0.9, one in ten
+/// more short answers stutters.
+constexpr double ShortPromptBatchShare = 0.75;
+/// Share of an engine's time that reading short prompts may take. Prompts of a thousand tokens with short answers use up an engine's
+/// time long before its batch is full; without this bound their engines read all the time and answers there run into their deadlines.
+constexpr double ShortPromptPrefillShare = 0.5;
+/// Short prompts get at most this share of the engines; long prompts keep the rest.
+constexpr double MaxShortPromptShare = 0.6;
 
 } // namespace
 
 namespace
 {
 
-auto moveAverage(double &average, Duration value) -> void
+auto updateAverage(double &average, Duration value) -> void
 {
     constexpr double Weight = 0.1;
     const auto milliseconds = detail::toMilliseconds(value);
     average = average == 0 ? milliseconds : average + Weight * (milliseconds - average);
 }
 
-/// Engines' time that shortPrompts take, by Little's law: as many arrive as are under way, divided by the time that each stays.
-auto readingEngines(const EngineSplit &split) -> double
+/// Number of engines that would be fully occupied with reading short prompts. By Little's law, the arrival rate is the number of requests
+/// in flight divided by their lifetime.
+auto prefillEngines(const EngineSplit &split) -> double
 {
-    return split.lifetimeMs == 0 ? 0 : split.shortPrompts * split.readingMs / split.lifetimeMs;
+    return split.lifetimeMs == 0 ? 0 : split.shortPromptDemand * split.prefillMs / split.lifetimeMs;
 }
 
 } // namespace
@@ -48,10 +50,10 @@
     return prompt.tokens < LongPromptTokens;
 }
 
-auto noteShortPromptEnded(EngineSplit &split, Duration reading, Duration lifetime) -> void
+auto recordShortPromptEnd(EngineSplit &split, Duration prefill, Duration lifetime) -> void
 {
-    moveAverage(split.readingMs, reading);
-    moveAverage(split.lifetimeMs, lifetime);
+    updateAverage(split.prefillMs, prefill);
+    updateAverage(split.lifetimeMs, lifetime);
 }
 
 auto updateSplit(EngineSplit &split, const std::vector<ServerPointer> &servers, TimePoint now) -> void
@@ -66,17 +68,18 @@
             usable += 1;
         }
     }
-    const auto elapsed = std::chrono::duration<double>(now - split.updatedAt) / std::chrono::duration<double>(DemandMemory);
-    split.shortPrompts = std::max<double>(shortPrompts, split.shortPrompts * std::exp(-elapsed));
+    const auto elapsed = std::chrono::duration<double>(now - split.updatedAt) / std::chrono::duration<double>(DemandDecayTime);
+    split.shortPromptDemand = std::max<double>(shortPrompts, split.shortPromptDemand * std::exp(-elapsed));
     split.updatedAt = now;
-    if (usable < 2 || split.shortPrompts < 1) {
+    if (usable < 2 || split.shortPromptDemand < 1) {
         split.shortPromptEngines = 0;
         return;
     }
     const auto slotsEach = static_cast<double>(slots) / static_cast<double>(usable);
-    const auto wanted = std::ceil(std::max(split.shortPrompts / (slotsEach * ShortPromptFill), readingEngines(split) / ShortPromptReading));
-    const auto most = std::max(1.0, std::floor(static_cast<double>(usable) * MostShortPromptPart));
-    split.shortPromptEngines = static_cast<std::size_t>(std::clamp(wanted, 1.0, most));
+    const auto neededEngines
+        = std::ceil(std::max(split.shortPromptDemand / (slotsEach * ShortPromptBatchShare), prefillEngines(split) / ShortPromptPrefillShare));
+    const auto maxEngines = std::max(1.0, std::floor(static_cast<double>(usable) * MaxShortPromptShare));
+    split.shortPromptEngines = static_cast<std::size_t>(std::clamp(neededEngines, 1.0, maxEngines));
 }
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/internal/candidate.cpp
+++ b/src/core/passthrough/internal/candidate.cpp
@@ -9,52 +9,55 @@
 namespace
 {
 
-/// Added to the estimate of a server for a failure rate of 1: a request lost costs the caller its whole patience.
+/// Penalty of a server whose failure rate is 1: a lost request costs the caller all the time that it is willing to wait.
 constexpr Duration FailurePenalty = std::chrono::seconds(2);
-/// Other failure domains are a millisecond away and each crossing is paid for.
+/// Penalty of another failure domain: it is a millisecond away, and traffic between failure domains is charged.
 constexpr Duration DistancePenalty = std::chrono::milliseconds(4);
 
-/// Places of an engine: its batch and a few that wait there, so that a place that becomes free is taken at once.
-constexpr double EnginePlaces = 1.1;
-/// Places of a plain service's server: its slots and as many that wait, of those that it keeps before it refuses.
-constexpr double ServicePlaces = 2.0;
-constexpr std::uint32_t LeastPlaces = 2;
-/// Places over the even part that one entry may take while it does not know what others do.
+/// Concurrent requests per slot of an engine: its batch and a small queue, so that a slot that becomes free is filled at once.
+constexpr double EngineRequestsPerSlot = 1.1;
+/// Concurrent requests per slot of a plain service's server: its slots and as many queued requests, which is fewer than it queues before it
+/// refuses.
+constexpr double ServiceRequestsPerSlot = 2.0;
+constexpr std::uint32_t MinConcurrency = 2;
+/// Multiple of its even share that one entry may use while the other entries' requests are unknown.
 constexpr double Overcommitment = 1.5;
 
-/// Requests that may be on the server at once, of all entries.
-auto placesOf(const ServerState &server, const PlacementQuery &query) -> std::uint32_t
+/// Requests that all entries together may have in flight on the server.
+auto concurrencyLimitOf(const ServerState &server, const PlacementQuery &query) -> std::uint32_t
 {
-    const auto part = query.prompt != nullptr ? EnginePlaces : ServicePlaces;
-    return std::max(static_cast<std::uint32_t>(std::ceil(server.record.slots * part)), LeastPlaces);
+    const auto requestsPerSlot = query.prompt != nullptr ? EngineRequestsPerSlot : ServiceRequestsPerSlot;
+    return std::max(static_cast<std::uint32_t>(std::ceil(server.record.slots * requestsPerSlot)), MinConcurrency);
 }
 
-/// A suspected server gets one request at a time: a server that fails at once has room at any time.
-auto isOnTrial(const ServerState &server) -> bool
+/// Whether the server is suspected of failing and a probe request is in flight. A suspected server gets one request at a time, since a
+/// server that fails every request at once always has free places.
+auto isBeingProbed(const ServerState &server) -> bool
 {
     return isSuspected(server.errors) && server.own.inFlight > 0;
 }
 
-/// Without word from the other entries, this one keeps to its even part, with some more for the unevenness of arrivals.
-auto hasPlace(const ServerState &server, const PlacementQuery &query) -> bool
+/// Whether the server may take one more request at once. Without reports of the other entries, this entry keeps to its even share and a
+/// margin for uneven arrivals.
+auto hasFreePlace(const ServerState &server, const PlacementQuery &query) -> bool
 {
-    const auto places = placesOf(server, query);
+    const auto limit = concurrencyLimitOf(server, query);
     if (query.peersKnown) {
-        return totalWork(server).inFlight < places;
+        return totalWork(server).inFlight < limit;
     }
-    const auto part = static_cast<std::uint32_t>(std::ceil(Overcommitment * places / std::max<std::uint32_t>(query.entries, 1)));
-    return server.own.inFlight < std::max(part, LeastPlaces);
+    const auto share = static_cast<std::uint32_t>(std::ceil(Overcommitment * limit / std::max<std::uint32_t>(query.entries, 1)));
+    return server.own.inFlight < std::max(share, MinConcurrency);
 }
 
-/// Whether the limit that the server named, if any, leaves room for one more request.
-auto mayTakeOfLimit(const ServerState &server, const PlacementQuery &query, TimePoint now) -> bool
+/// Whether the rate limit that the server has stated, if any, allows one more request.
+auto isWithinRateLimit(const ServerState &server, const PlacementQuery &query, TimePoint now) -> bool
 {
     if (!isLimited(server.limit)) {
         return true;
     }
     const auto own = sentWithinWindow(server.limit, now);
     const LimitShare share{
-        .entries = query.entriesListed ? query.entries : 0,
+        .entries = query.entryNamesKnown ? query.entries : 0,
         .peersKnown = query.peersKnown,
         .sent = own + (query.peersKnown ? server.others.sentLately : 0),
         .leavesReserve = query.leavesReserve,
@@ -66,13 +69,13 @@
 
 auto isBetter(const Candidate &one, const Candidate &other) -> bool
 {
-    return one.score != other.score ? one.score < other.score : one.tie < other.tie;
+    return one.score != other.score ? one.score < other.score : one.tieBreak < other.tieBreak;
 }
 
-auto mayUse(const ServerState &server, const PlacementQuery &query, TimePoint now) -> bool
+auto isEligible(const ServerState &server, const PlacementQuery &query, TimePoint now) -> bool
 {
     const auto isAvoided = std::find(query.avoid.begin(), query.avoid.end(), server.record.id) != query.avoid.end();
-    return !isAvoided && isUsable(server, now) && !isOnTrial(server) && hasPlace(server, query) && mayTakeOfLimit(server, query, now);
+    return !isAvoided && isUsable(server, now) && !isBeingProbed(server) && hasFreePlace(server, query) && isWithinRateLimit(server, query, now);
 }
 
 auto serverPenalty(const ServerState &server, const PlacementQuery &query, TimePoint now) -> Duration
@@ -81,7 +84,7 @@
     return scaled(FailurePenalty, failureRateOf(server, now)) + distance;
 }
 
-auto mix(std::uint64_t key, std::uint64_t salt) -> std::uint64_t
+auto mixHash(std::uint64_t key, std::uint64_t salt) -> std::uint64_t
 {
     constexpr std::uint64_t FirstFactor = 0xbf58476d1ce4e5b9ULL;
     constexpr std::uint64_t SecondFactor = 0x94d049bb133111ebULL;
--- a/src/core/passthrough/internal/candidate.h
+++ b/src/core/passthrough/internal/candidate.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the choices among engines and among servers of plain services have in common.
+/// Eligibility, penalties and tie-breaking, common to the choice of an engine and of a plain service's server.
 
 #pragma once
 
@@ -10,22 +10,22 @@
 namespace auburnspread::passthrough::detail
 {
 
-/// A server that may take the request, the lowest score first.
+/// A server that may take the request; the lowest score wins.
 struct Candidate {
     Placement placement;
     Duration score{};
-    std::uint64_t tie = 0; ///< decides between equal scores
+    std::uint64_t tieBreak = 0; ///< the lower one wins between equal scores
 };
 
 auto isBetter(const Candidate &one, const Candidate &other) -> bool;
 
-/// Whether new work may go there, it is not one that failed this request, and it has a place.
-auto mayUse(const ServerState &server, const PlacementQuery &query, TimePoint now) -> bool;
+/// Whether the server is usable, has not failed this request before, and has a free place within its concurrency and rate limits.
+auto isEligible(const ServerState &server, const PlacementQuery &query, TimePoint now) -> bool;
 
-/// What besides time speaks against any server: own failures there, and distance.
+/// Penalty for the failures that this entry has seen on the server, and for its distance.
 auto serverPenalty(const ServerState &server, const PlacementQuery &query, TimePoint now) -> Duration;
 
-/// A number that depends on every bit of both.
-auto mix(std::uint64_t key, std::uint64_t salt) -> std::uint64_t;
+/// Hash in which every bit of both arguments takes part.
+auto mixHash(std::uint64_t key, std::uint64_t salt) -> std::uint64_t;
 
 } // namespace auburnspread::passthrough::detail
--- a/src/core/passthrough/internal/dispatching.cpp
+++ b/src/core/passthrough/internal/dispatching.cpp
@@ -99,7 +99,7 @@
         .load = placement.load,
         .sentAt = state.now,
         .estimatedStart = placement.estimatedStart,
-        .readTokens = static_cast<double>(placement.before.unreadTokens) + placement.load.unreadTokens,
+        .readTokens = static_cast<double>(placement.workAhead.unreadTokens) + placement.load.unreadTokens,
     };
     noteSent(state.servers, server, placement.load, expectedStart(state, request, placement), state.now);
     if (isEngine) {
@@ -125,11 +125,11 @@
         .promptTokens = request.call.prompt.tokens,
         .unreadTokens = placement.load.unreadTokens,
         .fetchedTokens = placement.fetchedTokens,
-        .requestsBefore = placement.before.inFlight,
-        .tokensBefore = placement.before.unreadTokens,
-        .roomTokens = static_cast<std::uint32_t>(std::min(placement.demand.room, 4e9)),
-        .waitingTokens = static_cast<std::uint32_t>(placement.demand.waiting),
-        .preference = placement.preference,
+        .requestsBefore = placement.workAhead.inFlight,
+        .tokensBefore = placement.workAhead.unreadTokens,
+        .roomTokens = static_cast<std::uint32_t>(std::min(placement.backlog.capacityTokens, 4e9)),
+        .waitingTokens = static_cast<std::uint32_t>(placement.backlog.waitingTokens),
+        .preference = placement.preferenceRank,
     });
 }
 
@@ -169,7 +169,7 @@
 auto mostAheadOf(const RouterState &state, const Request &request) -> Duration
 {
     const auto target = request.route->target;
-    const auto ownReading = readingTime(request.call.prompt.tokens, state.pools.at(request.service).speed);
+    const auto ownReading = prefillTime(request.call.prompt.tokens, state.pools.at(request.service).speed);
     const auto own = std::min(ownReading, scaled(target, MostOwnPart));
     const auto left = scaled(target, OnTimePart) - (state.now - request.arrived) - own;
     const auto least = std::min(scaled(target, LatePart), scaled(LongestAhead, LeastAheadPart));
@@ -222,21 +222,21 @@
         .failureDomain = state.options.failureDomain,
         .avoid = request.avoid,
         .entries = state.entries,
-        .entriesListed = !state.servers.entryHashes.empty(),
+        .entryNamesKnown = !state.servers.entryHashes.empty(),
         .peersKnown = knowsPeers(state),
         .cacheTokens = service == nullptr ? 0 : service->cacheTokens,
         .fetchTokensPerMs = service == nullptr ? 0 : service->fetchTokensPerMs,
         .shortPromptEngines = static_cast<std::size_t>(std::ceil(share * static_cast<double>(pool.split.shortPromptEngines))),
-        .lookedAt = request.route->hasPrompt ? std::optional(lookedAtOf(unseen, servers.size())) : std::nullopt,
+        .sampledEngines = request.route->hasPrompt ? std::optional(lookedAtOf(unseen, servers.size())) : std::nullopt,
         .isUrgent = request.lessUrgentTiers > 0,
         .leavesReserve = request.hasMoreUrgentTiers,
         // short prompts that pile up make answers pause, so for them all counts that was told
         .reportAge = isShort(request.call.prompt) ? Duration::zero() : reportAgeOf(state),
-        .releases = releasesUnder(strainOf(pool, request)),
-        .unseenTokens = unseen * pool.unreadEach,
-        .mostAhead = request.route->hasPrompt ? std::optional(mostAheadOf(state, request)) : std::nullopt,
+        .admissionFactor = releasesUnder(strainOf(pool, request)),
+        .unreportedTokens = unseen * pool.unreadEach,
+        .maxQueueTime = request.route->hasPrompt ? std::optional(mostAheadOf(state, request)) : std::nullopt,
         .tieBreak = request.tieBreak,
-        .reports = state.servers.reports,
+        .reportRevision = state.servers.reports,
     };
     return choosePlacement(servers, query, pool.speed, state.now);
 }
@@ -256,8 +256,8 @@
     if (!request.route->hasPrompt || group.parts.size() == 1) {
         return placeAmong(state, request, group.all, 1);
     }
-    const auto session = sessionOf(request.call.prompt);
-    const auto key = mix(session == 0 ? request.tieBreak : session, 0);
+    const auto session = sessionIdOf(request.call.prompt);
+    const auto key = mixHash(session == 0 ? request.tieBreak : session, 0);
     const auto share = 1 / static_cast<double>(group.parts.size());
     auto placement = placeAmong(state, request, group.parts[partOf(group, key)], share);
     if (isFound(placement)) {
--- a/src/core/passthrough/internal/ending.cpp
+++ b/src/core/passthrough/internal/ending.cpp
@@ -53,7 +53,7 @@
     if (attempt.readTokens < LeastTokens) {
         return;
     }
-    const auto reading = std::max(observed - speed.firstToken, observed / 4);
+    const auto reading = std::max(observed - speed.firstTokenOverhead, observed / 4);
     const auto shown = attempt.readTokens / toMilliseconds(reading);
     speed.tokensPerMs *= std::pow(std::clamp(shown / speed.tokensPerMs, 1 / MostChange, MostChange), Weight);
 }
@@ -313,7 +313,7 @@
     auto &request = state.requests.at(attempt->request);
     if (attempt->load.isShort) {
         auto &pool = state.pools[request.service];
-        noteShortPromptEnded(pool.split, readingTime(attempt->load.unreadTokens, pool.speed), state.now - attempt->sentAt);
+        recordShortPromptEnd(pool.split, prefillTime(attempt->load.unreadTokens, pool.speed), state.now - attempt->sentAt);
     }
     const auto server = closeAttempt(state, event.attempt);
     noteSucceeded(*server, state.now);
--- a/src/core/passthrough/internal/enginechoice.h
+++ b/src/core/passthrough/internal/enginechoice.h
@@ -1,8 +1,8 @@
 /// \file
-/// Which of some engines takes a prompt, or that it must wait.
+/// Chooses an engine for a prompt, or decides that the request must wait.
 ///
-/// The load that this answers: many entries send prompts to the same engines, and each knows of the others what they told a tenth
-/// of a second ago. What is sent unseen must neither pile up on the engine that looked emptiest nor leave engines idle.
+/// Many entries send prompts to the same engines, and each knows the others' work only from reports that are about a tenth of a second
+/// old. Requests sent since those reports must neither pile up on the engine that appeared least loaded nor leave engines idle.
 
 #pragma once
 
@@ -14,11 +14,11 @@
 namespace auburnspread::passthrough::detail
 {
 
-/// The part that requests of one session share; 0: the prompt has none.
-auto sessionOf(const Prompt &prompt) -> std::uint64_t;
+/// Id of the prompt part that the requests of one session share; 0 if the prompt has no such part.
+auto sessionIdOf(const Prompt &prompt) -> std::uint64_t;
 
-/// Nothing: none of \p servers has a place and memory.
-auto chooseEngine(const std::vector<ServerPointer> &servers, const Source &source, const PlacementQuery &query, const EngineSpeed &speed, TimePoint now)
+/// \return a placement without a server if none of \p servers has both a free place and memory
+auto chooseEngine(const std::vector<ServerPointer> &servers, const CopySource &source, const PlacementQuery &query, const EngineSpeed &speed, TimePoint now)
     -> Placement;
 
 } // namespace auburnspread::passthrough::detail
--- a/src/core/passthrough/internal/promptreuse.cpp
+++ b/src/core/passthrough/internal/promptreuse.cpp
@@ -8,15 +8,15 @@
 namespace
 {
 
-/// Added for each token of a shared part that would be read although another engine holds it: that engine's time is
-/// spent twice, and the prompts behind it wait. A session's part of some thousand tokens is read again only where its own
-/// engine is slower by seconds.
+/// Penalty for each token of a shared part that would be read although another engine holds it: the engines spend time twice and the
+/// prompts queued behind it wait. A session's part of some thousand tokens is read again only if its own engine is slower by seconds.
 constexpr Duration RereadPenalty = std::chrono::microseconds(300);
-/// Added for each token that is copied from another engine: bytes are paid for, and the link is shared. So a copy is made where no
-/// engine that holds the part has room. Worth of five days of a small fleet, one play each: 0.806 with 0.15 ms, 0.815 with
+/// Penalty for each token that is copied from another engine: traffic is charged, and the link is shared. A copy is therefore made only
+/// if no engine that holds the part has capacity. Score of five days of a small fleet, one run each: 0.806 with 0.15 ms, 0.815 with
 /// 0.25 ms, 0.752 without copies.
 constexpr Duration FetchPenalty = std::chrono::microseconds(250);
 
+/// Tokens of all parts but the last, which belongs to this request alone.
 auto sharedTokens(const Prompt &prompt) -> std::uint32_t
 {
     std::uint32_t tokens = 0;
@@ -28,9 +28,9 @@
 
 } // namespace
 
-auto findSource(const std::vector<ServerPointer> &servers, const PlacementQuery &query, TimePoint now) -> Source
+auto findCopySource(const std::vector<ServerPointer> &servers, const PlacementQuery &query, TimePoint now) -> CopySource
 {
-    Source source;
+    CopySource source;
     if (query.prompt == nullptr || query.fetchTokensPerMs <= 0) {
         return source;
     }
@@ -43,18 +43,18 @@
     return source;
 }
 
-auto reuseAt(const ServerState &server, const Prompt &prompt, const Source &source, TimePoint now) -> Reuse
+auto reuseAt(const ServerState &server, const Prompt &prompt, const CopySource &source, TimePoint now) -> PromptReuse
 {
-    const auto held = heldPrefix(server.cache, prompt, now);
-    const auto fetched = source.tokens > held + LeastFetchedTokens ? source.tokens - held : 0;
-    return { .heldTokens = held, .fetchedTokens = fetched, .unreadTokens = prompt.tokens - held - fetched };
+    const auto cached = heldPrefix(server.cache, prompt, now);
+    const auto fetched = source.tokens > cached + MinFetchedTokens ? source.tokens - cached : 0;
+    return { .cachedTokens = cached, .fetchedTokens = fetched, .unreadTokens = prompt.tokens - cached - fetched };
 }
 
-auto reusePenalty(const Prompt &prompt, const Reuse &reuse) -> Duration
+auto reusePenalty(const Prompt &prompt, const PromptReuse &reuse) -> Duration
 {
-    const auto own = prompt.tokens - std::min(prompt.tokens, sharedTokens(prompt));
-    const auto readAgain = reuse.unreadTokens - std::min(reuse.unreadTokens, own);
-    return RereadPenalty * readAgain + FetchPenalty * reuse.fetchedTokens;
+    const auto ownTokens = prompt.tokens - std::min(prompt.tokens, sharedTokens(prompt));
+    const auto rereadTokens = reuse.unreadTokens - std::min(reuse.unreadTokens, ownTokens);
+    return RereadPenalty * rereadTokens + FetchPenalty * reuse.fetchedTokens;
 }
 
 } // namespace auburnspread::passthrough::detail
--- a/src/core/passthrough/internal/promptreuse.h
+++ b/src/core/passthrough/internal/promptreuse.h
@@ -1,5 +1,5 @@
 /// \file
-/// How an engine comes by a prompt: what its cache holds, what it can copy from another engine, and what it has to read.
+/// How much of a prompt an engine holds in its prefix cache, can copy from another engine's cache, and has to read.
 
 #pragma once
 
@@ -11,27 +11,27 @@
 namespace auburnspread::passthrough::detail
 {
 
-/// Fewer tokens are read in about the time in which a copy is set up.
-constexpr std::uint32_t LeastFetchedTokens = 512;
+/// Smallest copy in tokens: reading fewer takes about as long as setting up a copy.
+constexpr std::uint32_t MinFetchedTokens = 512;
 
-struct Reuse {
-    std::uint32_t heldTokens = 0;    ///< in its cache
-    std::uint32_t fetchedTokens = 0; ///< copied from another engine
-    std::uint32_t unreadTokens = 0;  ///< read
+struct PromptReuse {
+    std::uint32_t cachedTokens = 0;  ///< tokens in the engine's own cache
+    std::uint32_t fetchedTokens = 0; ///< tokens that it copies from another engine
+    std::uint32_t unreadTokens = 0;  ///< tokens that it has to read
 };
 
-/// The engine that has read most of the prompt.
-struct Source {
+/// The engine that has read the longest prefix of the prompt, to copy from.
+struct CopySource {
     ServerPointer server;
-    std::uint32_t tokens = 0;
+    std::uint32_t tokens = 0; ///< length of that prefix
 };
 
-/// Nothing where engines can't copy, or where none that may get new work has read a part.
-auto findSource(const std::vector<ServerPointer> &servers, const PlacementQuery &query, TimePoint now) -> Source;
+/// \return a source without a server if engines cannot copy, or if no usable engine has read a prefix of the prompt
+auto findCopySource(const std::vector<ServerPointer> &servers, const PlacementQuery &query, TimePoint now) -> CopySource;
 
-auto reuseAt(const ServerState &server, const Prompt &prompt, const Source &source, TimePoint now) -> Reuse;
+auto reuseAt(const ServerState &server, const Prompt &prompt, const CopySource &source, TimePoint now) -> PromptReuse;
 
-/// What speaks for other engines: tokens of shared parts that would be read again or copied.
-auto reusePenalty(const Prompt &prompt, const Reuse &reuse) -> Duration;
+/// Penalty for tokens of shared prompt parts that the engine would read again or copy.
+auto reusePenalty(const Prompt &prompt, const PromptReuse &reuse) -> Duration;
 
 } // namespace auburnspread::passthrough::detail
--- a/src/core/passthrough/placement.cpp
+++ b/src/core/passthrough/placement.cpp
@@ -15,23 +15,24 @@
 namespace
 {
 
-/// A plain service's call takes some tens of milliseconds of a slot.
-constexpr Duration CallTime = std::chrono::milliseconds(30);
+/// Typical time that a call of a plain service occupies a slot.
+constexpr Duration ServiceCallTime = std::chrono::milliseconds(30);
 
-auto estimateService(const Work &work, const ServerState &server) -> Duration
+auto estimateServiceStart(const Work &work, const ServerState &server) -> Duration
 {
     const auto slots = std::max<std::uint32_t>(server.record.slots, 1);
-    const auto before = static_cast<double>(work.inFlight) / slots;
-    return scaled(CallTime, server.slowness * (1 + before));
+    const auto callsAhead = static_cast<double>(work.inFlight) / slots;
+    return scaled(ServiceCallTime, server.slowness * (1 + callsAhead));
 }
 
-/// Engines of each side of the split, usable ones only, in the order that all entries agree on.
-struct Sides {
+/// The usable engines, divided into those for short prompts and those for long ones by the rank of their hash, which is the same on all
+/// entries.
+struct EngineGroups {
     std::vector<ServerPointer> forShortPrompts;
     std::vector<ServerPointer> forLongPrompts;
 };
 
-auto splitEngines(const std::vector<ServerPointer> &servers, std::size_t shortPromptEngines, TimePoint now) -> Sides
+auto splitEngines(const std::vector<ServerPointer> &servers, std::size_t shortPromptEngines, TimePoint now) -> EngineGroups
 {
     std::vector<ServerPointer> usable;
     std::copy_if(servers.begin(), servers.end(), std::back_inserter(usable), [now](const ServerPointer &server) { return isUsable(*server, now); });
@@ -41,15 +42,16 @@
     return { .forShortPrompts = { usable.begin(), middle }, .forLongPrompts = { middle, usable.end() } };
 }
 
-auto chooseServer(const std::vector<ServerPointer> &servers, const PlacementQuery &query, TimePoint now) -> Placement
+auto chooseServiceServer(const std::vector<ServerPointer> &servers, const PlacementQuery &query, TimePoint now) -> Placement
 {
     detail::Candidate best;
     for (const auto &server : servers) {
-        if (!detail::mayUse(*server, query, now)) {
+        if (!detail::isEligible(*server, query, now)) {
             continue;
         }
-        detail::Candidate candidate{ .placement = { .server = server, .before = totalWork(*server) }, .tie = detail::mix(query.tieBreak, server->hash) };
-        candidate.placement.estimatedStart = estimateService(candidate.placement.before, *server);
+        detail::Candidate candidate{ .placement = { .server = server, .workAhead = totalWork(*server) },
+                                     .tieBreak = detail::mixHash(query.tieBreak, server->hash) };
+        candidate.placement.estimatedStart = estimateServiceStart(candidate.placement.workAhead, *server);
         candidate.score = candidate.placement.estimatedStart + detail::serverPenalty(*server, query, now);
         if (!best.placement.server || detail::isBetter(candidate, best)) {
             best = candidate;
@@ -60,7 +62,7 @@
 
 } // namespace
 
-auto readingTime(std::uint32_t tokens, const EngineSpeed &speed) -> Duration
+auto prefillTime(std::uint32_t tokens, const EngineSpeed &speed) -> Duration
 {
     return detail::toDuration(tokens / speed.tokensPerMs);
 }
@@ -68,21 +70,22 @@
 auto choosePlacement(const std::vector<ServerPointer> &servers, const PlacementQuery &query, const EngineSpeed &speed, TimePoint now) -> Placement
 {
     if (query.prompt == nullptr) {
-        return chooseServer(servers, query, now);
+        return chooseServiceServer(servers, query, now);
     }
-    const auto source = detail::findSource(servers, query, now);
+    const auto source = detail::findCopySource(servers, query, now);
     if (query.shortPromptEngines == 0) {
         return detail::chooseEngine(servers, source, query, speed, now);
     }
-    const auto sides = splitEngines(servers, query.shortPromptEngines, now);
+    const auto groups = splitEngines(servers, query.shortPromptEngines, now);
     const auto isShortPrompt = isShort(*query.prompt);
-    const auto &own = isShortPrompt ? sides.forShortPrompts : sides.forLongPrompts;
-    auto placement = detail::chooseEngine(own, source, query, speed, now);
-    if (placement.server || (!own.empty() && !isShortPrompt)) {
+    const auto &preferredGroup = isShortPrompt ? groups.forShortPrompts : groups.forLongPrompts;
+    auto placement = detail::chooseEngine(preferredGroup, source, query, speed, now);
+    if (placement.server || (!preferredGroup.empty() && !isShortPrompt)) {
         return placement;
     }
-    // a short prompt may go to the other side too; a long one only if it has no side of its own
-    return detail::chooseEngine(isShortPrompt ? sides.forLongPrompts : sides.forShortPrompts, source, query, speed, now);
+    // A short prompt may also go to the engines for long prompts. A long prompt goes to those for short ones only if its
+    // own group is empty.
+    return detail::chooseEngine(isShortPrompt ? groups.forLongPrompts : groups.forShortPrompts, source, query, speed, now);
 }
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/placement.h
+++ b/src/core/passthrough/placement.h
@@ -1,9 +1,9 @@
 /// \file
-/// Which backend server gives a request its first byte soonest, by an estimate of the work that lies before it there.
+/// Chooses the backend server that is expected to send the first byte of an answer soonest.
 ///
-/// An engine reads prompts one after the other, so the time to the first token is the prompt tokens that wait there, own
-/// and other entries', plus those of this request that its cache does not hold. Requests of one session go to one engine
-/// by rendezvous hashing: all entries find the same one without talking, and read the session's part once.
+/// An engine reads prompts one after the other, so its time to first token grows with the prompt tokens that are queued there by
+/// all entries and with the tokens of this prompt that its prefix cache does not hold. Rendezvous hashing maps each session to the
+/// same engine on every entry, without any exchange between entries, so the shared part of a session is read only once.
 
 #pragma once
 
@@ -21,58 +21,60 @@
 namespace auburnspread::passthrough
 {
 
-/// How fast an engine works at its best, as its operators state it; own timings correct it for each server. Alone at an engine a
-/// prompt took 27 ms for each 1,000 tokens and 40 ms besides (median of 1,479). What others report as unread is in part read by
-/// then, so a slower figure here leaves engines idle while requests for them wait: 42 a ms refused 1 in 100 more quotes.
+/// Speed of an engine at its best, as stated by its operators; an entry corrects it for each server by its own measurements.
+///
+/// A prompt alone on an engine took 27 ms for each 1,000 tokens and 40 ms in addition (median of 1,479 prompts). Some of the tokens
+/// that other entries report as unread have been read by the time the report is used, so a lower figure here leaves engines idle
+/// while requests wait for them: 42 tokens per ms refused 1 in 100 more quotes.
 struct EngineSpeed {
-    double tokensPerMs = 52.4;                           ///< of a prompt
-    Duration firstToken = std::chrono::milliseconds(27); ///< besides reading
-    Duration sharing = std::chrono::microseconds(400);   ///< longer first token for each request that runs beside
+    double tokensPerMs = 52.4;                                   ///< prompt tokens that the engine reads per millisecond
+    Duration firstTokenOverhead = std::chrono::milliseconds(27); ///< part of the time to first token that does not depend on the prompt
+    Duration delayPerRequest = std::chrono::microseconds(400);   ///< added to the time to first token for each request in flight on the engine
 };
 
 struct PlacementQuery {
-    const Prompt *prompt = nullptr;     ///< null: a call of a plain service
-    std::string_view failureDomain;     ///< of this entry
-    std::span<const std::string> avoid; ///< ids of servers that failed this request
-    std::uint32_t entries = 1;          ///< alive, this one included
-    bool entriesListed = false;         ///< these are known by name
-    bool peersKnown = false;            ///< most other entries told what they have in flight
-    std::uint64_t cacheTokens = 0;      ///< memory of an engine; 0: not known
-    double fetchTokensPerMs = 0;        ///< see Service
-    std::size_t shortPromptEngines = 0; ///< engines that are kept for short prompts
-    std::optional<double> lookedAt;     ///< engines that are looked at besides those that hold most of the prompt; not set: all
-    bool isUrgent = false;              ///< there are less urgent tiers, which leave room for it
-    bool leavesReserve = false;         ///< there are more urgent tiers, for which it leaves a part of what a server with a limit takes
-    Duration reportAge{};               ///< of what is known of the other entries' requests
-    double releases = 1;                ///< times the room of the engines that what waits is released by
-    double unseenTokens = 0;            ///< of prompts that other entries may have sent since they last told
-    std::optional<Duration> mostAhead;  ///< longest time that the work before it may take; not set: any
-    std::uint64_t tieBreak = 0;         ///< of this request; spreads equal choices
-    std::uint64_t reports = 0;          ///< changes when something new is known of other entries
+    const Prompt *prompt = nullptr;       ///< null for a call of a plain service
+    std::string_view failureDomain;       ///< failure domain of this entry
+    std::span<const std::string> avoid;   ///< ids of servers that already failed this request
+    std::uint32_t entries = 1;            ///< live entries, including this one
+    bool entryNamesKnown = false;         ///< whether the names of the live entries are known
+    bool peersKnown = false;              ///< whether most other entries have reported their requests in flight
+    std::uint64_t cacheTokens = 0;        ///< memory of an engine in tokens; 0 if unknown
+    double fetchTokensPerMs = 0;          ///< see Service::fetchTokensPerMs
+    std::size_t shortPromptEngines = 0;   ///< number of engines that are reserved for short prompts
+    std::optional<double> sampledEngines; ///< engines to compare, in addition to those with the longest cached prefix; all engines if not set
+    bool isUrgent = false;                ///< whether less urgent tiers exist, which leave capacity for this request
+    bool leavesReserve = false;           ///< whether more urgent tiers exist, for which part of a server's rate limit must stay free
+    Duration reportAge{};                 ///< age of the other entries' reports
+    double admissionFactor = 1;           ///< multiple of the engines' free capacity up to which waiting requests are sent
+    double unreportedTokens = 0;          ///< estimated prompt tokens that other entries have sent since their last reports
+    std::optional<Duration> maxQueueTime; ///< longest time that the work queued on the engine may take; unlimited if not set
+    std::uint64_t tieBreak = 0;           ///< specific to the request; distributes choices between equal servers
+    std::uint64_t reportRevision = 0;     ///< changes with each report of another entry
 };
 
-/// Prompt tokens that engines still may be given, and that wait for them at all entries.
-struct Demand {
-    double room = 0;
-    double waiting = 0;
+/// Prompt tokens, summed over the engines and entries.
+struct Backlog {
+    double capacityTokens = 0; ///< tokens that the engines can still be given within PlacementQuery::maxQueueTime
+    double waitingTokens = 0;  ///< tokens of requests that wait at all entries
 };
 
 struct Placement {
-    ServerPointer server;
-    Duration estimatedStart{}; ///< until the first byte
-    Load load;
-    ServerPointer fetchFrom;         ///< engine that has read more of the prompt; null: none
-    std::uint32_t fetchedTokens = 0; ///< that are copied from there instead of being read
-    Demand demand;
-    Work before;           ///< on the server, of all entries, when it was chosen
-    bool mustWait = false; ///< the server is the right one, but has too much to read
-    int preference = 0;    ///< place of the server among the session's engines, from 1; 0: none of them
+    ServerPointer server;            ///< null if no usable server has capacity
+    Duration estimatedStart{};       ///< expected time to the first byte
+    Load load;                       ///< what the request adds to the server
+    ServerPointer fetchFrom;         ///< engine to copy cached parts of the prompt from; null if nothing is copied
+    std::uint32_t fetchedTokens = 0; ///< tokens that are copied from \c fetchFrom instead of being read
+    Backlog backlog;
+    Work workAhead;         ///< work of all entries on the server at the time of the choice
+    bool mustWait = false;  ///< whether the request must wait until \c server has less prompt tokens to read
+    int preferenceRank = 0; ///< rank of the server among the session's preferred engines, from 1; 0 if it is not one of them
 };
 
-/// Nothing: no usable server has room.
+/// \return a placement without a server if no usable server has capacity
 auto choosePlacement(const std::vector<ServerPointer> &servers, const PlacementQuery &query, const EngineSpeed &speed, TimePoint now) -> Placement;
 
-/// Time that an engine takes for this many tokens of a prompt.
-auto readingTime(std::uint32_t tokens, const EngineSpeed &speed) -> Duration;
+/// Time that an engine needs to read \p tokens prompt tokens.
+auto prefillTime(std::uint32_t tokens, const EngineSpeed &speed) -> Duration;
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/tests/placement_tests.cpp
+++ b/src/core/passthrough/tests/placement_tests.cpp
@@ -30,8 +30,8 @@
     return { .tokens = 9190, .answerTokens = 50, .parts = { { .id = 1, .tokens = 2520 }, { .id = session, .tokens = 3780 }, { .id = 0, .tokens = 2890 } } };
 }
 
-/// The engine has read the shared parts of this prompt a while ago.
-auto keepParts(ServerState &engine, const Prompt &prompt) -> void
+/// Records that the engine read the shared parts of the prompt two seconds ago.
+auto cacheSharedParts(ServerState &engine, const Prompt &prompt) -> void
 {
     for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i) {
         noteUse(engine.cache, prompt.parts[i], 0, Now - std::chrono::seconds(2));
@@ -45,7 +45,7 @@
 
 } // namespace
 
-/// Sessions are read once, whichever entry asks: every entry, with no word from the others, finds the same engine.
+/// Every entry chooses the same engine for a session, without reports from the others, so that the session is read only once.
 TEST(PlacementTests, allEntriesSendASessionToTheSameEngine)
 {
     for (std::uint64_t session = 10; session < 60; ++session) {
@@ -59,8 +59,8 @@
     }
 }
 
-/// What callers see: quotes that are all late in a burst, while half of the fleet's reading is done twice. A busy engine's
-/// sessions go on to one and the same second engine, so their part is read there once.
+/// Guards against reading a session on many engines. When its first engine is busy, all entries choose the same second engine, so its part
+/// is read once there. Otherwise half of the fleet's reading is duplicated in a burst, and all quotes are late.
 TEST(PlacementTests, aSessionOverflowsToOneSecondEngine)
 {
     std::map<std::string, int> second;
@@ -74,17 +74,17 @@
     EXPECT_EQ(second.size(), 1U);
 }
 
-/// What callers see: in a burst every answer is late, also that of the newest request. An engine that has a third of a second of
-/// reading before it gets nothing that must begin within 0.2 s. While every engine has, the request waits, for the one that holds its
-/// parts; as soon as another one has room it goes there, and has its parts copied.
+/// Guards against late answers for all callers in a burst. An engine with a third of a second of queued reading gets no request that must
+/// begin within 0.2 s. While all engines have that much, the request waits for the engine that holds its parts; as soon as another one
+/// has capacity, it is sent there and its parts are copied.
 TEST(PlacementTests, aRequestWaitsWhileEveryEngineHasTooMuchToRead)
 {
     const auto quote = makeQuote(79);
     const auto engines = makeEngines(18);
-    const PlacementQuery query{ .prompt = &quote, .fetchTokensPerMs = 176, .mostAhead = std::chrono::milliseconds(200) };
+    const PlacementQuery query{ .prompt = &quote, .fetchTokensPerMs = 176, .maxQueueTime = std::chrono::milliseconds(200) };
     const auto home = choosePlacement(engines, query, {}, Now);
     EXPECT_FALSE(home.mustWait);
-    keepParts(*home.server, quote);
+    cacheSharedParts(*home.server, quote);
     for (const auto &engine : engines) {
         engine->others.unreadTokens = 15'000;
     }
@@ -100,8 +100,8 @@
     EXPECT_EQ(sent.load.unreadTokens, 2890U);
 }
 
-/// What callers see: answers of another prompt's length of time, because an engine is asked for a cache that it has lost or that it
-/// is still reading. Copies come from an engine that may get new work, and only of parts that it has surely read by now.
+/// Guards against copying from an engine whose cache has lost the parts or that is still reading them, which would give answers with the
+/// latency of a longer prompt. A copy comes from an engine that may get new work, and only of parts that it must have read by then.
 TEST(PlacementTests, aCopyComesFromAnEngineThatHasReadTheParts)
 {
     const auto quote = makeQuote(79);
@@ -118,15 +118,15 @@
     EXPECT_FALSE(choosePlacement(engines, query, {}, later).fetchFrom) << "it is about to leave";
 }
 
-/// What callers see: an engine that was free a moment ago takes seconds to begin. Requests wait for it at 60 entries, and all
-/// of these hear at once that it has room for a few; about so many may go, not all.
-TEST(PlacementTests, noMoreGoAtOnceThanThereIsRoomFor)
+/// Guards against a stampede. Requests wait for an engine at 60 entries, which all learn at the same moment that it has capacity for a few;
+/// about that many may be sent, not all, or the engine takes seconds to begin.
+TEST(PlacementTests, requestsSentAtOnceMatchTheFreeCapacity)
 {
     const auto quote = makeQuote(80);
     constexpr std::uint64_t Entries = 60;
     constexpr std::uint32_t TokensEach = 2890;
     const auto engines = makeEngines(18);
-    PlacementQuery query{ .prompt = &quote, .mostAhead = std::chrono::milliseconds(270) };
+    PlacementQuery query{ .prompt = &quote, .maxQueueTime = std::chrono::milliseconds(270) };
     const auto home = choosePlacement(engines, query, {}, Now).server;
     for (const auto &engine : engines) {
         engine->others.unreadTokens = engine == home ? 0 : 60'000;
@@ -135,7 +135,7 @@
     auto sent = 0;
     constexpr auto Rounds = 50;
     for (std::uint64_t round = 0; round < Rounds; ++round) {
-        query.reports = round;
+        query.reportRevision = round;
         for (std::uint64_t entry = 0; entry < Entries; ++entry) {
             query.tieBreak = 7919 * entry;
             sent += choosePlacement(engines, query, {}, Now).mustWait ? 0 : 1;
@@ -146,21 +146,21 @@
     EXPECT_LT(sent, 1.5 * fitting * Rounds);
 }
 
-TEST(PlacementTests, aSessionLeavesItsEngineOnlyWhenThatIsFarBehind)
+TEST(PlacementTests, aSessionLeavesItsEngineOnlyWhenThatEngineIsFarBehind)
 {
     const auto quote = makeQuote(77);
     const auto engines = makeEngines(18);
     const auto home = choosePlacement(engines, { .prompt = &quote }, {}, Now).server;
-    keepParts(*home, quote);
+    cacheSharedParts(*home, quote);
     home->others.unreadTokens = 10'000;
     EXPECT_EQ(choosePlacement(engines, { .prompt = &quote }, {}, Now).server, home);
     home->others.unreadTokens = 120'000;
     EXPECT_NE(choosePlacement(engines, { .prompt = &quote }, {}, Now).server, home);
 }
 
-/// What callers see: line checks whose events stutter although no engine is full. Long prompts are read between the tokens
-/// of running answers; on one and the same engine each token waits for a chunk. So the two kinds get engines of their own.
-TEST(PlacementTests, longPromptsAndLongAnswersGetEnginesOfTheirOwn)
+/// Guards against line checks whose events stutter although no engine is full. Long prompts are read between the tokens of running answers,
+/// so on a shared engine each token waits for a chunk. Long and short prompts therefore get separate engines.
+TEST(PlacementTests, longAndShortPromptsGetSeparateEngines)
 {
     const auto engines = makeEngines(18);
     EngineSplit split;
@@ -183,7 +183,7 @@
     }
 }
 
-TEST(PlacementTests, theSplitFollowsDemandUpAtOnceAndDownSlowly)
+TEST(PlacementTests, theSplitFollowsRisingDemandAtOnceAndFallingDemandSlowly)
 {
     const auto engines = makeEngines(18);
     EngineSplit split;
@@ -198,8 +198,8 @@
     EXPECT_GE(split.shortPromptEngines, 1U);
 }
 
-/// What callers see: answers that stop for seconds. An engine with more requests than its memory holds takes running ones
-/// off and reads their prompts again. A request goes where memory is free, and waits if there is none.
+/// Guards against answers that stop for seconds. An engine with more requests than its memory holds preempts running ones and reads their
+/// prompts again. A request is sent to an engine with free memory, and waits if there is none.
 TEST(PlacementTests, noEngineGetsMoreThanItsMemoryHolds)
 {
     const auto quote = makeQuote(5);
@@ -214,8 +214,8 @@
     EXPECT_FALSE(choosePlacement(engines, query, {}, Now).server);
 }
 
-/// What callers see: large requests are never served. One that is larger than the whole memory must still be offered to an
-/// engine, which refuses it by itself.
+/// Guards against large requests that are never served. A request that is larger than the whole memory must still be offered to an engine,
+/// which refuses it itself.
 TEST(PlacementTests, aRequestLargerThanTheMemoryGoesToAnEmptyEngine)
 {
     auto quote = makeQuote(5);
@@ -223,9 +223,8 @@
     EXPECT_TRUE(choosePlacement(makeEngines(2), { .prompt = &quote, .peersKnown = true, .cacheTokens = 292'000 }, {}, Now).server);
 }
 
-/// What callers see: slow answers in a burst while others are fast. One entry does not know that the others fill an engine;
-/// their reports tell it.
-TEST(PlacementTests, whatOtherEntriesReportCounts)
+/// Guards against overloading an engine that other entries fill: this entry knows of their requests only from their reports.
+TEST(PlacementTests, reportedWorkOfOtherEntriesIsCounted)
 {
     const auto check = makeCheck(9);
     const auto engines = makeEngines(2);
