--- a/src/core/passthrough/ejection.cpp
+++ b/src/core/passthrough/ejection.cpp
@@ -40,7 +40,7 @@
 
 auto takeOut(const ServerTable &table, ServerState &server, TimePoint until, TimePoint now) -> void
 {
-    suspectStrongly(server.errors);
+    suspectStrongly(server.errorEvidence);
     if (mayEject(table, server, now)) {
         server.ejectedUntil = std::max(server.ejectedUntil, until + ownSpread(table, server));
     }
@@ -57,15 +57,15 @@
 {
     takeOut(table, server, now + EjectionTime, now);
     if (isTold) {
-        noteUsed(table, server);
+        markReportable(table, server);
         server.ownEjectionUntil = now + EjectionTime;
     }
 }
 
 auto hearEjection(ServerTable &table, ServerState &server, TimePoint until, TimePoint now) -> void
 {
-    server.toldEjectionUntil = std::max(server.toldEjectionUntil, std::min(until, now + EjectionTime));
-    takeOut(table, server, server.toldEjectionUntil, now);
+    server.peerEjectionUntil = std::max(server.peerEjectionUntil, std::min(until, now + EjectionTime));
+    takeOut(table, server, server.peerEjectionUntil, now);
 }
 
 auto ownEjectionLeft(const ServerState &server, TimePoint now) -> Duration
@@ -75,7 +75,7 @@
 
 auto ejectionLeft(const ServerState &server, TimePoint now) -> Duration
 {
-    return leftUntil(std::max(server.ownEjectionUntil, server.toldEjectionUntil), now);
+    return leftUntil(std::max(server.ownEjectionUntil, server.peerEjectionUntil), now);
 }
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/enginesplit.cpp
+++ b/src/core/passthrough/enginesplit.cpp
@@ -62,7 +62,7 @@
     std::uint32_t slots = 0;
     std::size_t usable = 0;
     for (const auto &server : servers) {
-        shortPrompts += totalWork(*server).shortPrompts;
+        shortPrompts += totalLoad(*server).shortPrompts;
         if (isUsable(*server, now)) {
             slots += server->record.slots;
             usable += 1;
--- a/src/core/passthrough/internal/candidate.cpp
+++ b/src/core/passthrough/internal/candidate.cpp
@@ -34,7 +34,7 @@
 /// server that fails every request at once always has free places.
 auto isBeingProbed(const ServerState &server) -> bool
 {
-    return isSuspected(server.errors) && server.own.inFlight > 0;
+    return isSuspected(server.errorEvidence) && server.ownLoad.inFlight > 0;
 }
 
 /// Whether the server may take one more request at once. Without reports of the other entries, this entry keeps to its even share and a
@@ -43,10 +43,10 @@
 {
     const auto limit = concurrencyLimitOf(server, query);
     if (query.peersKnown) {
-        return totalWork(server).inFlight < limit;
+        return totalLoad(server).inFlight < limit;
     }
     const auto share = static_cast<std::uint32_t>(std::ceil(Overcommitment * limit / std::max<std::uint32_t>(query.entries, 1)));
-    return server.own.inFlight < std::max(share, MinConcurrency);
+    return server.ownLoad.inFlight < std::max(share, MinConcurrency);
 }
 
 /// Whether the rate limit that the server has stated, if any, allows one more request.
@@ -59,7 +59,7 @@
     const LimitShare share{
         .entries = query.entryNamesKnown ? query.entries : 0,
         .peersKnown = query.peersKnown,
-        .sent = own + (query.peersKnown ? server.others.sentLately : 0),
+        .sent = own + (query.peersKnown ? server.peerLoad.sentLately : 0),
         .leavesReserve = query.leavesReserve,
     };
     return mayTake(server.limit, share, now);
@@ -81,7 +81,7 @@
 auto serverPenalty(const ServerState &server, const PlacementQuery &query, TimePoint now) -> Duration
 {
     const auto distance = server.record.failureDomain == query.failureDomain ? Duration::zero() : DistancePenalty;
-    return scaled(FailurePenalty, failureRateOf(server, now)) + distance;
+    return scaled(FailurePenalty, currentFailureRate(server, now)) + distance;
 }
 
 auto mixHash(std::uint64_t key, std::uint64_t salt) -> std::uint64_t
--- a/src/core/passthrough/internal/dispatching.cpp
+++ b/src/core/passthrough/internal/dispatching.cpp
@@ -101,7 +101,7 @@
         .estimatedStart = placement.estimatedStart,
         .readTokens = static_cast<double>(placement.workAhead.unreadTokens) + placement.load.unreadTokens,
     };
-    noteSent(state.servers, server, placement.load, expectedStart(state, request, placement), state.now);
+    recordSend(state.servers, server, placement.load, expectedStart(state, request, placement), state.now);
     if (isEngine) {
         noteUnread(state.pools[request.service], placement.load.unreadTokens);
         notePrompt(state.servers, server, request.call.prompt, state.now);
@@ -152,7 +152,7 @@
 /// Whether most other entries told what they have in flight.
 auto knowsPeers(const RouterState &state) -> bool
 {
-    return state.servers.believesTotals || 2 * entriesHeard(state.servers) + 1 >= state.entries;
+    return state.servers.usesFleetReport || 2 * entriesHeard(state.servers) + 1 >= state.entries;
 }
 
 auto strainOf(const Pool &pool, const Request &request) -> const Strain &
@@ -192,7 +192,7 @@
 {
     constexpr Duration OfReports = std::chrono::milliseconds(40);
     constexpr Duration OfSums = std::chrono::milliseconds(120);
-    return state.servers.believesTotals ? OfSums : OfReports;
+    return state.servers.usesFleetReport ? OfSums : OfReports;
 }
 
 /// Requests that all other entries together send until this one hears of them: as they tell, or as many each as come here.
@@ -222,7 +222,7 @@
         .failureDomain = state.options.failureDomain,
         .avoid = request.avoid,
         .entries = state.entries,
-        .entryNamesKnown = !state.servers.entryHashes.empty(),
+        .entryNamesKnown = !state.servers.entryNameHashes.empty(),
         .peersKnown = knowsPeers(state),
         .cacheTokens = service == nullptr ? 0 : service->cacheTokens,
         .fetchTokensPerMs = service == nullptr ? 0 : service->fetchTokensPerMs,
@@ -236,7 +236,7 @@
         .unreportedTokens = unseen * pool.unreadEach,
         .maxQueueTime = request.route->hasPrompt ? std::optional(mostAheadOf(state, request)) : std::nullopt,
         .tieBreak = request.tieBreak,
-        .reportRevision = state.servers.reports,
+        .reportRevision = state.servers.reportCount,
     };
     return choosePlacement(servers, query, pool.speed, state.now);
 }
@@ -253,17 +253,17 @@
         return {};
     }
     const auto &group = found->second;
-    if (!request.route->hasPrompt || group.parts.size() == 1) {
+    if (!request.route->hasPrompt || group.shards.size() == 1) {
         return placeAmong(state, request, group.all, 1);
     }
     const auto session = sessionIdOf(request.call.prompt);
     const auto key = mixHash(session == 0 ? request.tieBreak : session, 0);
-    const auto share = 1 / static_cast<double>(group.parts.size());
-    auto placement = placeAmong(state, request, group.parts[partOf(group, key)], share);
+    const auto share = 1 / static_cast<double>(group.shards.size());
+    auto placement = placeAmong(state, request, group.shards[shardForKey(group, key)], share);
     if (isFound(placement)) {
         return placement;
     }
-    auto second = placeAmong(state, request, group.parts[secondPartOf(group, key)], share);
+    auto second = placeAmong(state, request, group.shards[fallbackShardForKey(group, key)], share);
     return isFound(second) || !placement.server ? second : placement;
 }
 
@@ -335,7 +335,7 @@
         if (found == state.servers.byService.end()) {
             continue;
         }
-        const auto interval = found->second.parts.size() == 1 ? Duration::zero() : IntervalOfMany;
+        const auto interval = found->second.shards.size() == 1 ? Duration::zero() : IntervalOfMany;
         if (state.now - pool.split.updatedAt >= interval) {
             updateSplit(pool.split, found->second.all, state.now);
         }
@@ -344,13 +344,13 @@
 
 auto countWaiting(RouterState &state) -> void
 {
-    for (auto &[id, server] : state.servers.used) {
-        server->own.waitingTokens = 0;
+    for (auto &[id, server] : state.servers.reportableServers) {
+        server->ownLoad.waitingTokens = 0;
     }
     for (const auto &[id, request] : state.requests) {
         if (request.stage == Stage::Waiting && request.waitsFor) {
-            noteUsed(state.servers, *request.waitsFor);
-            request.waitsFor->own.waitingTokens += request.waitingTokens;
+            markReportable(state.servers, *request.waitsFor);
+            request.waitsFor->ownLoad.waitingTokens += request.waitingTokens;
         }
     }
 }
@@ -358,7 +358,7 @@
 auto countArrivals(RouterState &state) -> void
 {
     for (const auto &[service, pool] : state.pools) {
-        state.servers.ownArrivals[service] = rateAt(pool.arrivals, state.now);
+        state.servers.ownArrivalRates[service] = rateAt(pool.arrivals, state.now);
     }
 }
 
--- a/src/core/passthrough/internal/ending.cpp
+++ b/src/core/passthrough/internal/ending.cpp
@@ -37,9 +37,9 @@
     const auto node = state.attempts.extract(id);
     const auto &attempt = node.mapped();
     if (!attempt.started) {
-        noteRead(*attempt.server, attempt.load);
+        recordPromptRead(*attempt.server, attempt.load);
     }
-    noteEnded(*attempt.server, attempt.load);
+    recordAttemptEnd(*attempt.server, attempt.load);
     return attempt.server;
 }
 
@@ -66,7 +66,7 @@
     constexpr double Most = 10;
     auto &bias = state.pools[request.service].bias[attempt.load.isShort ? 1 : 0];
     const auto expected = scaled(attempt.estimatedStart, bias);
-    const auto ratio = noteStartTime(*attempt.server, state.now - attempt.sentAt, expected);
+    const auto ratio = recordFirstByteTime(*attempt.server, state.now - attempt.sentAt, expected);
     bias = std::clamp(bias * (1 + Weight * (std::min(ratio, 2.0) - 1)), 1 / Most, Most);
     learnReadingSpeed(state.pools[request.service].speed, attempt, state.now - attempt.sentAt);
 }
@@ -79,8 +79,8 @@
 
 auto judgeAnswer(RouterState &state, const Request &request, ServerState &server, std::optional<Failure> failure) -> void
 {
-    noteAnswer(server.errors, state.usualErrors[request.route->name], failure.has_value());
-    if (failure && isConvincing(server.errors)) {
+    noteAnswer(server.errorEvidence, state.usualErrors[request.route->name], failure.has_value());
+    if (failure && isConvincing(server.errorEvidence)) {
         eject(state.servers, server, !looksLikeCrash(*failure), state.now);
     }
 }
@@ -171,7 +171,7 @@
     const auto isSilent = !attempt.started && state.now - attempt.sentAt >= LongSilence;
     const auto server = closeAttempt(state, request.attempt);
     if (isSilent) {
-        noteFailed(*server, Failure::FirstTokenTimeout, state.now);
+        recordFailure(*server, Failure::FirstTokenTimeout, state.now);
     }
     endWithoutAnswer(state, request, Reason::DeadlinePassed, actions);
 }
@@ -239,8 +239,8 @@
     if (attempt == nullptr || std::exchange(attempt->started, true)) {
         return;
     }
-    noteHeard(*attempt->server);
-    noteRead(*attempt->server, attempt->load);
+    recordActivity(*attempt->server);
+    recordPromptRead(*attempt->server, attempt->load);
     const auto found = state.requests.find(attempt->request);
     if (found == state.requests.end()) {
         return;
@@ -254,7 +254,7 @@
 auto takeLimit(RouterState &state, const LimitStated &event) -> void
 {
     if (auto *attempt = findAttempt(state, event.attempt)) {
-        noteLimitStated(state.servers, *attempt->server, event.perSecond, attempt->sentAt, state.now);
+        recordLimitStatement(state.servers, *attempt->server, event.perSecond, attempt->sentAt, state.now);
     }
 }
 
@@ -264,7 +264,7 @@
     if (attempt == nullptr) {
         return;
     }
-    noteHeard(*attempt->server);
+    recordActivity(*attempt->server);
     const auto found = state.requests.find(attempt->request);
     if (found != state.requests.end() && found->second.route->hasPrompt) {
         attempt->pace.events += event.events;
@@ -286,12 +286,12 @@
     clearCrashes(state, request.call.fingerprint);
     request.mayHaveRun = true;
     if (event.status < FirstErrorStatus) {
-        noteSucceeded(*server, state.now);
+        recordSuccess(*server, state.now);
         judgeAnswer(state, request, *server, std::nullopt);
     } else {
-        noteHeard(*server);
+        recordActivity(*server);
         judgeAnswer(state, request, *server, Failure::ServerError);
-        noteFailed(*server, Failure::ServerError, state.now);
+        recordFailure(*server, Failure::ServerError, state.now);
         if (!whyNoRepeat(state, request, Failure::ServerError)) {
             const auto service = request.service;
             request.avoid.push_back(server->record.id);
@@ -316,7 +316,7 @@
         recordShortPromptEnd(pool.split, prefillTime(attempt->load.unreadTokens, pool.speed), state.now - attempt->sentAt);
     }
     const auto server = closeAttempt(state, event.attempt);
-    noteSucceeded(*server, state.now);
+    recordSuccess(*server, state.now);
     judgeAnswer(state, request, *server, std::nullopt);
     clearCrashes(state, request.call.fingerprint);
     actions.emplace_back(Complete{ .request = request.call.request });
@@ -331,7 +331,7 @@
     }
     auto &request = state.requests.at(attempt->request);
     const auto server = closeAttempt(state, event.attempt);
-    noteFailed(*server, event.failure, state.now);
+    recordFailure(*server, event.failure, state.now);
     if (isServersFault(event.failure)) {
         judgeAnswer(state, request, *server, event.failure);
     }
--- a/src/core/passthrough/internal/enginechoice.cpp
+++ b/src/core/passthrough/internal/enginechoice.cpp
@@ -56,7 +56,7 @@
     return position == preferred.end() ? 0 : static_cast<int>(position - preferred.begin()) + 1;
 }
 
-auto estimateEngineStart(const Work &work, const ServerState &server, const PromptReuse &reuse, const PlacementQuery &query, const EngineSpeed &speed)
+auto estimateEngineStart(const ServerLoad &work, const ServerState &server, const PromptReuse &reuse, const PlacementQuery &query, const EngineSpeed &speed)
     -> Duration
 {
     const auto prefill = prefillTime(work.unreadTokens + reuse.unreadTokens, speed);
@@ -66,13 +66,13 @@
 
 /// Whether the request fits into the engine's memory. With more requests than its memory holds, an engine preempts running answers and
 /// reads their prompts again. A request that is larger than the whole memory may go to an empty engine, which refuses it itself.
-auto hasMemory(const Work &work, const PlacementQuery &query, const Load &load) -> bool
+auto hasMemory(const ServerLoad &work, const PlacementQuery &query, const RequestLoad &load) -> bool
 {
     const auto held = work.heldTokens;
     return query.cacheTokens == 0 || held == 0 || held + load.heldTokens <= UsableMemoryShare * static_cast<double>(query.cacheTokens);
 }
 
-auto loadOf(const Prompt &prompt, const PromptReuse &reuse) -> Load
+auto loadOf(const Prompt &prompt, const PromptReuse &reuse) -> RequestLoad
 {
     return {
         .unreadTokens = reuse.unreadTokens,
@@ -91,7 +91,7 @@
 };
 
 /// Prompt tokens that the engine can still be given within the longest queueing time; negative if it has too many already.
-auto capacityTokensOf(const ServerState &server, const Work &work, const PlacementQuery &query, const EngineSpeed &speed) -> double
+auto capacityTokensOf(const ServerState &server, const ServerLoad &work, const PlacementQuery &query, const EngineSpeed &speed) -> double
 {
     if (!query.maxQueueTime) {
         return std::numeric_limits<double>::max();
@@ -111,11 +111,11 @@
 ///
 /// Without this correction, other entries' prompts count as unread until the next report: in a burst engines stood idle for half of the
 /// time while callers were refused.
-auto currentWork(const ServerState &server, const PlacementQuery &query, const EngineSpeed &speed) -> Work
+auto currentWork(const ServerState &server, const PlacementQuery &query, const EngineSpeed &speed) -> ServerLoad
 {
-    auto work = totalWork(server);
+    auto work = totalLoad(server);
     const auto readSinceReport = toMilliseconds(query.reportAge) * speed.tokensPerMs / server.slowness;
-    work.unreadTokens -= std::min(server.others.unreadTokens, static_cast<std::uint32_t>(readSinceReport));
+    work.unreadTokens -= std::min(server.peerLoad.unreadTokens, static_cast<std::uint32_t>(readSinceReport));
     return work;
 }
 
@@ -189,7 +189,7 @@
         backlog.capacityTokens += std::max(option.capacityTokens, 0.0);
     }
     for (const auto &server : servers) {
-        backlog.waitingTokens += totalWork(*server).waitingTokens;
+        backlog.waitingTokens += totalLoad(*server).waitingTokens;
     }
     return backlog;
 }
--- a/src/core/passthrough/internal/state.h
+++ b/src/core/passthrough/internal/state.h
@@ -66,7 +66,7 @@
 struct Attempt {
     RequestId request{};
     ServerPointer server;
-    Load load;
+    RequestLoad load;
     bool started = false;
     TimePoint sentAt;
     Duration estimatedStart{};
--- a/src/core/passthrough/peerreports.cpp
+++ b/src/core/passthrough/peerreports.cpp
@@ -17,7 +17,7 @@
 /// A report is sent several times a second; after this time the peer has stopped or cannot reach us.
 constexpr Duration PeerReportAge = std::chrono::milliseconds(1500);
 
-auto addUse(Work &work, const PeerReported::Use &use) -> void
+auto addUse(ServerLoad &work, const PeerReported::Use &use) -> void
 {
     work.inFlight += use.inFlight;
     work.unreadTokens += use.unreadTokens;
@@ -27,9 +27,9 @@
     work.sentLately += use.sentLately;
 }
 
-auto workOf(const PeerReported::Use &use) -> Work
+auto workOf(const PeerReported::Use &use) -> ServerLoad
 {
-    Work work;
+    ServerLoad work;
     addUse(work, use);
     return work;
 }
@@ -39,7 +39,7 @@
     return all - std::min(all, part);
 }
 
-auto without(const Work &all, const Work &part) -> Work
+auto without(const ServerLoad &all, const ServerLoad &part) -> ServerLoad
 {
     return {
         .inFlight = subtract(all.inFlight, part.inFlight),
@@ -58,15 +58,15 @@
 
 /// Failure: several entries sum up, one of them hears only a part of the fleet, and its sum comes later. Symptom: engines are taken for
 /// nearly idle, and get three times the work that they can do.
-auto replaces(const PeerReported &sum, const ServerTable::PeerUse &held, TimePoint now) -> bool
+auto replaces(const PeerReported &sum, const ServerTable::ReceivedReport &held, TimePoint now) -> bool
 {
-    return sum.entries >= LeastPartOfEntries * held.report.entries || now - held.at > SumAge;
+    return sum.entries >= LeastPartOfEntries * held.report.entries || now - held.receivedAt > SumAge;
 }
 
 /// The entries of a failure domain whose sum is known are in that sum.
 auto isCounted(const ServerTable &table, const PeerReported &report) -> bool
 {
-    return report.failureDomain == table.failureDomain || !table.domains.contains(report.failureDomain);
+    return report.failureDomain == table.failureDomain || !table.domainReports.contains(report.failureDomain);
 }
 
 /// The reports that a sum of this scope counts, each once; without this entry's own.
@@ -74,13 +74,13 @@
 auto forEachReport(const ServerTable &table, ReportScope scope, Visit visit) -> void
 {
     const auto isFleet = scope == ReportScope::Fleet;
-    for (const auto &[name, use] : table.peers) {
+    for (const auto &[name, use] : table.entryReports) {
         if (isFleet ? isCounted(table, use.report) : use.report.failureDomain == table.failureDomain) {
             visit(use.report);
         }
     }
     if (isFleet) {
-        for (const auto &[domain, use] : table.domains) {
+        for (const auto &[domain, use] : table.domainReports) {
             visit(use.report);
         }
     }
@@ -95,7 +95,7 @@
 
 auto prefersTotals(const ServerTable &table) -> bool
 {
-    return table.totals && table.totals->report.entries > entriesHeard(table) + 1;
+    return table.fleetReport && table.fleetReport->report.entries > entriesHeard(table) + 1;
 }
 
 auto addUses(ServerTable &table, const PeerReported &report) -> void
@@ -105,10 +105,10 @@
         if (!server) {
             continue;
         }
-        if (!std::exchange(server->isUsedByOthers, true)) {
-            table.usedByOthers.push_back(server);
+        if (!std::exchange(server->hasPeerLoad, true)) {
+            table.serversWithPeerLoad.push_back(server);
         }
-        addUse(server->others, use);
+        addUse(server->peerLoad, use);
     }
 }
 
@@ -116,7 +116,7 @@
 {
     for (const auto &use : report.uses) {
         if (const auto server = findServer(table, use.server)) {
-            server->others = without(server->others, workOf(use));
+            server->peerLoad = without(server->peerLoad, workOf(use));
         }
     }
 }
@@ -132,18 +132,18 @@
 auto partsToTell(const ServerState &server, ReportScope scope, TimePoint now) -> std::vector<PromptPart>
 {
     std::vector<PromptPart> parts;
-    addSentWithin(server.sentHere, SentWindow, now, parts);
+    addSentWithin(server.ownSentParts, SentWindow, now, parts);
     if (scope != ReportScope::Entry) {
-        addSentWithin(server.sentByPeers, SentWindow, now, parts);
+        addSentWithin(server.peerSentParts, SentWindow, now, parts);
     }
     if (scope == ReportScope::Fleet) {
-        addSentWithin(server.sentByDomains, SentWindow, now, parts);
+        addSentWithin(server.domainSentParts, SentWindow, now, parts);
     }
     return parts;
 }
 
 /// \p work: of the entries that a report of this scope counts
-auto makeUse(const ServerState &server, const Work &work, ReportScope scope, TimePoint now) -> PeerReported::Use
+auto makeUse(const ServerState &server, const ServerLoad &work, ReportScope scope, TimePoint now) -> PeerReported::Use
 {
     return {
         .server = server.record.id,
@@ -153,7 +153,7 @@
         .waitingTokens = work.waitingTokens,
         .shortPrompts = work.shortPrompts,
         .ejectedFor = scope == ReportScope::Entry ? ownEjectionLeft(server, now) : ejectionLeft(server, now),
-        .limit = limitToTell(server, scope, now),
+        .limit = limitForReport(server, scope, now),
         .sentLately = work.sentLately,
         .sent = partsToTell(server, scope, now),
     };
@@ -193,8 +193,8 @@
 {
     noteUse(server.cache, part, capacityOf(table, server), now);
     if (part.tokens >= LeastToldTokens) {
-        noteUsed(table, server);
-        noteSent(server.sentHere, part, now);
+        markReportable(table, server);
+        noteSent(server.ownSentParts, part, now);
     }
 }
 
@@ -207,15 +207,15 @@
 
 auto recountPeers(ServerTable &table) -> void
 {
-    table.believesTotals = prefersTotals(table);
-    for (const auto &server : std::exchange(table.usedByOthers, {})) {
-        server->others = {};
-        server->isUsedByOthers = false;
+    table.usesFleetReport = prefersTotals(table);
+    for (const auto &server : std::exchange(table.serversWithPeerLoad, {})) {
+        server->peerLoad = {};
+        server->hasPeerLoad = false;
     }
-    if (table.believesTotals) {
-        addUses(table, table.totals->report);
-        for (const auto &server : table.usedByOthers) {
-            server->others = without(server->others, server->reported); // not what it has now: that was not told yet
+    if (table.usesFleetReport) {
+        addUses(table, table.fleetReport->report);
+        for (const auto &server : table.serversWithPeerLoad) {
+            server->peerLoad = without(server->peerLoad, server->reportedLoad); // not what it has now: that was not told yet
         }
         return;
     }
@@ -243,27 +243,27 @@
 
 auto arrivalsOfOthers(const ServerTable &table, const std::string &service) -> double
 {
-    if (!table.believesTotals) {
+    if (!table.usesFleetReport) {
         return sumArrivals(table, service, ReportScope::Fleet);
     }
-    const auto own = table.ownArrivals.find(service);
-    return std::max(0.0, arrivalsIn(table.totals->report, service) - (own == table.ownArrivals.end() ? 0 : own->second));
+    const auto own = table.ownArrivalRates.find(service);
+    return std::max(0.0, arrivalsIn(table.fleetReport->report, service) - (own == table.ownArrivalRates.end() ? 0 : own->second));
 }
 
 auto takeReport(ServerTable &table, const std::string &entry, TimePoint now) -> PeerReported
 {
     PeerReported report{ .entry = entry, .failureDomain = table.failureDomain };
-    for (const auto &[service, perSecond] : table.ownArrivals) {
+    for (const auto &[service, perSecond] : table.ownArrivalRates) {
         report.arrivals.push_back({ .service = service, .perSecond = perSecond });
     }
-    for (auto each = table.used.begin(); each != table.used.end();) {
+    for (auto each = table.reportableServers.begin(); each != table.reportableServers.end();) {
         auto &server = *each->second;
-        server.own.sentLately = sentWithinWindow(server.limit, now);
-        server.reported = server.own;
-        auto use = makeUse(server, server.own, ReportScope::Entry, now);
+        server.ownLoad.sentLately = sentWithinWindow(server.limit, now);
+        server.reportedLoad = server.ownLoad;
+        auto use = makeUse(server, server.ownLoad, ReportScope::Entry, now);
         const auto isListed = findServer(table, each->first) == each->second;
         if (!isListed || !isNews(use)) {
-            each = table.used.erase(each);
+            each = table.reportableServers.erase(each);
             continue;
         }
         report.uses.push_back(std::move(use));
@@ -276,14 +276,14 @@
 {
 
 /// Own work with that of the entries that told this one; by server, those that anybody uses.
-auto sumWork(const ServerTable &table, ReportScope scope, TimePoint now) -> std::map<std::string_view, Work>
+auto sumWork(const ServerTable &table, ReportScope scope, TimePoint now) -> std::map<std::string_view, ServerLoad>
 {
-    std::map<std::string_view, Work> sum;
+    std::map<std::string_view, ServerLoad> sum;
     for (const auto &[id, server] : table.byId) {
-        const auto isUsed = server->own.inFlight > 0 || server->own.waitingTokens > 0;
-        const auto isTold = !server->sentHere.sent.empty() || !server->sentByPeers.sent.empty() || !server->sentByDomains.sent.empty();
-        if (isUsed || isTold || ejectionLeft(*server, now) > Duration::zero() || limitToTell(*server, scope, now)) {
-            auto &work = sum[id] = server->own;
+        const auto isUsed = server->ownLoad.inFlight > 0 || server->ownLoad.waitingTokens > 0;
+        const auto isTold = !server->ownSentParts.sent.empty() || !server->peerSentParts.sent.empty() || !server->domainSentParts.sent.empty();
+        if (isUsed || isTold || ejectionLeft(*server, now) > Duration::zero() || limitForReport(*server, scope, now)) {
+            auto &work = sum[id] = server->ownLoad;
             work.sentLately = sentWithinWindow(server->limit, now);
         }
     }
@@ -301,7 +301,7 @@
 auto takeSum(const ServerTable &table, const std::string &entry, ReportScope scope, TimePoint now) -> PeerReported
 {
     PeerReported report{ .entry = entry, .failureDomain = table.failureDomain, .scope = scope };
-    for (const auto &[service, perSecond] : table.ownArrivals) {
+    for (const auto &[service, perSecond] : table.ownArrivalRates) {
         report.arrivals.push_back({ .service = service, .perSecond = perSecond + sumArrivals(table, service, scope) });
     }
     report.entries += countEntries(table, scope);
@@ -330,12 +330,12 @@
             hearEjection(table, *server, now + use.ejectedFor, now);
         }
         if (use.limit) {
-            hearLimit(table, *server, { .perSecond = use.limit->perSecond, .at = now - use.limit->age }, report.scope);
+            applyPeerLimit(table, *server, { .perSecond = use.limit->perSecond, .at = now - use.limit->age }, report.scope);
         }
         for (const auto &part : use.sent) {
             noteUse(server->cache, part, capacityOf(table, *server), now);
             if (report.scope != ReportScope::Fleet) {
-                noteSent(report.scope == ReportScope::Entry ? server->sentByPeers : server->sentByDomains, part, now);
+                noteSent(report.scope == ReportScope::Entry ? server->peerSentParts : server->domainSentParts, part, now);
             }
         }
     }
@@ -360,16 +360,16 @@
 /// Only what changed is counted: an entry that sums up hears a thousand reports a second.
 auto takeEntryReport(ServerTable &table, const PeerReported &report, TimePoint now) -> void
 {
-    auto &held = table.peers[report.entry];
-    const auto isInOthers = [&table](const PeerReported &each) { return !table.believesTotals && isCounted(table, each); };
+    auto &held = table.entryReports[report.entry];
+    const auto isInOthers = [&table](const PeerReported &each) { return !table.usesFleetReport && isCounted(table, each); };
     if (isInOthers(held.report)) {
         subtractUses(table, held.report);
     }
-    held = { .report = report, .at = now };
+    held = { .report = report, .receivedAt = now };
     if (isInOthers(held.report)) {
         addUses(table, held.report);
     }
-    if (table.believesTotals != prefersTotals(table)) {
+    if (table.usesFleetReport != prefersTotals(table)) {
         recountPeers(table);
     }
 }
@@ -379,9 +379,9 @@
     if (report.failureDomain == table.failureDomain) {
         return;
     }
-    const auto found = table.domains.find(report.failureDomain);
-    if (found == table.domains.end() || replaces(report, found->second, now)) {
-        table.domains[report.failureDomain] = { .report = report, .at = now };
+    const auto found = table.domainReports.find(report.failureDomain);
+    if (found == table.domainReports.end() || replaces(report, found->second, now)) {
+        table.domainReports[report.failureDomain] = { .report = report, .receivedAt = now };
         recountPeers(table);
     }
 }
@@ -394,7 +394,7 @@
     if (report.isRest) {
         return;
     }
-    table.reports += 1;
+    table.reportCount += 1;
     switch (report.scope) {
     case ReportScope::Entry:
         takeEntryReport(table, report, now);
@@ -403,8 +403,8 @@
         takeDomainSum(table, report, now);
         break;
     case ReportScope::Fleet:
-        if (!table.totals || replaces(report, *table.totals, now)) {
-            table.totals = ServerTable::PeerUse{ .report = report, .at = now };
+        if (!table.fleetReport || replaces(report, *table.fleetReport, now)) {
+            table.fleetReport = ServerTable::ReceivedReport{ .report = report, .receivedAt = now };
             recountPeers(table);
         }
         break;
@@ -413,12 +413,12 @@
 
 auto expirePeerReports(ServerTable &table, TimePoint now) -> void
 {
-    const auto isOld = [now](const ServerTable::PeerUse &use) { return now - use.at > PeerReportAge; };
-    auto expired = std::erase_if(table.peers, [&](const auto &item) { return isOld(item.second); });
-    expired += std::erase_if(table.domains, [&](const auto &item) { return isOld(item.second); });
-    const auto totalIsOld = table.totals && isOld(*table.totals);
+    const auto isOld = [now](const ServerTable::ReceivedReport &use) { return now - use.receivedAt > PeerReportAge; };
+    auto expired = std::erase_if(table.entryReports, [&](const auto &item) { return isOld(item.second); });
+    expired += std::erase_if(table.domainReports, [&](const auto &item) { return isOld(item.second); });
+    const auto totalIsOld = table.fleetReport && isOld(*table.fleetReport);
     if (totalIsOld) {
-        table.totals.reset();
+        table.fleetReport.reset();
     }
     if (expired > 0 || totalIsOld) {
         recountPeers(table);
--- a/src/core/passthrough/placement.cpp
+++ b/src/core/passthrough/placement.cpp
@@ -18,7 +18,7 @@
 /// Typical time that a call of a plain service occupies a slot.
 constexpr Duration ServiceCallTime = std::chrono::milliseconds(30);
 
-auto estimateServiceStart(const Work &work, const ServerState &server) -> Duration
+auto estimateServiceStart(const ServerLoad &work, const ServerState &server) -> Duration
 {
     const auto slots = std::max<std::uint32_t>(server.record.slots, 1);
     const auto callsAhead = static_cast<double>(work.inFlight) / slots;
@@ -49,7 +49,7 @@
         if (!detail::isEligible(*server, query, now)) {
             continue;
         }
-        detail::Candidate candidate{ .placement = { .server = server, .workAhead = totalWork(*server) },
+        detail::Candidate candidate{ .placement = { .server = server, .workAhead = totalLoad(*server) },
                                      .tieBreak = detail::mixHash(query.tieBreak, server->hash) };
         candidate.placement.estimatedStart = estimateServiceStart(candidate.placement.workAhead, *server);
         candidate.score = candidate.placement.estimatedStart + detail::serverPenalty(*server, query, now);
--- a/src/core/passthrough/placement.h
+++ b/src/core/passthrough/placement.h
@@ -62,11 +62,11 @@
 struct Placement {
     ServerPointer server;            ///< null if no usable server has capacity
     Duration estimatedStart{};       ///< expected time to the first byte
-    Load load;                       ///< what the request adds to the server
+    RequestLoad load;                ///< what the request adds to the server
     ServerPointer fetchFrom;         ///< engine to copy cached parts of the prompt from; null if nothing is copied
     std::uint32_t fetchedTokens = 0; ///< tokens that are copied from \c fetchFrom instead of being read
     Backlog backlog;
-    Work workAhead;         ///< work of all entries on the server at the time of the choice
+    ServerLoad workAhead;   ///< work of all entries on the server at the time of the choice
     bool mustWait = false;  ///< whether the request must wait until \c server has less prompt tokens to read
     int preferenceRank = 0; ///< rank of the server among the session's preferred engines, from 1; 0 if it is not one of them
 };
--- a/src/core/passthrough/router.cpp
+++ b/src/core/passthrough/router.cpp
@@ -39,7 +39,7 @@
 
 auto takeTick(RouterState &state, Actions &actions) -> void
 {
-    dropMissing(state.servers, state.now);
+    removeLapsedServers(state.servers, state.now);
     expirePeerReports(state.servers, state.now);
     detail::expireCrashes(state);
     detail::updateSplits(state);
@@ -98,13 +98,13 @@
     }
     auto operator()(const ServersListed &event) const -> void
     {
-        adoptServers(state.servers, event, state.now);
+        applyServerList(state.servers, event, state.now);
         recountPeers(state.servers);
         detail::dispatchAll(state, actions);
     }
     auto operator()(const ServersChanged &event) const -> void
     {
-        adoptChanges(state.servers, event, state.now);
+        applyServerChanges(state.servers, event, state.now);
         recountPeers(state.servers);
         detail::dispatchAll(state, actions);
     }
@@ -112,7 +112,7 @@
     {
         state.entries = std::max<std::uint32_t>(event.entries, 1);
         state.repeatShares = event.isGuess ? AssumedEntries : state.entries;
-        noteEntries(state.servers, event.names);
+        setEntryNames(state.servers, event.names);
     }
     auto operator()(const PeerReported &event) const -> void
     {
@@ -165,7 +165,7 @@
     state->servers.failureDomain = state->options.failureDomain;
     state->seed = XXH64(state->options.entry.data(), state->options.entry.size(), 0);
     state->servers.seed = state->seed;
-    state->servers.ownHash = state->seed;
+    state->servers.ownNameHash = state->seed;
     return state;
 }
 
@@ -207,7 +207,7 @@
     const auto pool = state.pools.find(service);
     load.tokensPerMs = pool == state.pools.end() ? EngineSpeed().tokensPerMs : pool->second.speed.tokensPerMs;
     for (const auto &server : group->second.all) {
-        const auto work = totalWork(*server);
+        const auto work = totalLoad(*server);
         load.requests += work.inFlight;
         load.unreadTokens += std::uint64_t{ work.unreadTokens } + work.waitingTokens;
         if (isUsable(*server, now)) {
--- a/src/core/passthrough/servertable.cpp
+++ b/src/core/passthrough/servertable.cpp
@@ -21,7 +21,7 @@
 /// A server counts as silent after this time, or after so many times the expected start if that is longer. An entry of a large
 /// fleet has one request or none on a server, so in a burst the first byte of the only one may well take seconds; taking
 /// the server for dead then would send its sessions to others, and these would be overloaded next.
-constexpr Duration LeastSilence = std::chrono::milliseconds(1200);
+constexpr Duration MinSilence = std::chrono::milliseconds(1200);
 constexpr int SilenceFactor = 3;
 /// After this time without a send, one request finds out whether a silent server has come back. Dark servers stay so for
 /// some seconds; each that is tried costs one request.
@@ -31,7 +31,7 @@
 constexpr double OutcomeWeight = 0.1;
 /// Time in which a failure rate fades to a third. A server that is chosen no more shows no successes, so without this one
 /// failure in a quiet hour would keep it idle for ever; backend servers that turn bad do so for some seconds.
-constexpr Duration FailureMemory = std::chrono::seconds(3);
+constexpr Duration FailureDecayTime = std::chrono::seconds(3);
 constexpr double SlownessWeight = 0.15;
 constexpr double LeastSlowness = 0.5;
 constexpr double MostSlowness = 20;
@@ -42,23 +42,23 @@
 }
 
 /// Servers of a part, at most.
-constexpr std::size_t MostServersOfPart = 256;
+constexpr std::size_t MaxServersPerShard = 256;
 
 /// A power of two, so that the parts seldom change as servers come and go.
-auto countParts(std::size_t servers) -> std::size_t
+auto countShards(std::size_t servers) -> std::size_t
 {
     std::size_t parts = 1;
-    while (servers > parts * MostServersOfPart) {
+    while (servers > parts * MaxServersPerShard) {
         parts *= 2;
     }
     return parts;
 }
 
-auto dealParts(ServerGroup &group) -> void
+auto assignShards(ServerGroup &group) -> void
 {
-    group.parts.resize(countParts(group.all.size()));
+    group.shards.resize(countShards(group.all.size()));
     for (const auto &server : group.all) {
-        group.parts[server->hash % group.parts.size()].push_back(server);
+        group.shards[server->hash % group.shards.size()].push_back(server);
     }
 }
 
@@ -72,13 +72,13 @@
 {
     countLimited(table);
     table.byService.clear();
-    table.awaitsReturns = false;
+    table.hasLapsedServers = false;
     for (const auto &[id, server] : table.byId) {
         table.byService[server->record.service].all.push_back(server);
-        table.awaitsReturns = table.awaitsReturns || server->returnBy;
+        table.hasLapsedServers = table.hasLapsedServers || server->returnDeadline;
     }
     for (auto &[service, group] : table.byService) {
-        dealParts(group);
+        assignShards(group);
     }
 }
 
@@ -86,7 +86,7 @@
 /// work that died with it, and it is passed over for failures of its earlier run. So a later start is another server: attempts of
 /// the earlier run keep its state to their end.
 /// \return whether the servers of a service are others now
-auto takeRecord(ServerTable &table, const Server &record) -> bool
+auto applyRecord(ServerTable &table, const Server &record) -> bool
 {
     auto &server = table.byId[record.id];
     const auto isOther = !server || server->record.startedAt != record.startedAt || server->record.service != record.service;
@@ -95,70 +95,70 @@
         server->hash = hashOf(record.id);
     }
     server->record = record;
-    server->returnBy.reset();
+    server->returnDeadline.reset();
     return isOther;
 }
 
 /// Until when a server that is absent may be back. Its registration may have lapsed while the registry was out of reach: dropping such
 /// servers at once would empty the list although every one lives. One that stood in a list since then has left: it must get nothing more.
-auto returnOf(const ServerTable &table, std::optional<TimePoint> outageEndedAt) -> std::optional<TimePoint>
+auto returnDeadlineFor(const ServerTable &table, std::optional<TimePoint> outageEndedAt) -> std::optional<TimePoint>
 {
-    const auto lapsed = outageEndedAt && table.listedAt < *outageEndedAt;
+    const auto lapsed = outageEndedAt && table.listAsOf < *outageEndedAt;
     return lapsed ? std::optional(*outageEndedAt + ReturnTime) : std::nullopt;
 }
 
 /// \return whether it stays for now
-auto mayReturn(ServerState &server, std::optional<TimePoint> returnBy, TimePoint now) -> bool
+auto keepUntilReturn(ServerState &server, std::optional<TimePoint> returnDeadline, TimePoint now) -> bool
 {
-    if (!server.returnBy) {
-        server.returnBy = returnBy;
+    if (!server.returnDeadline) {
+        server.returnDeadline = returnDeadline;
     }
-    return server.returnBy && now < *server.returnBy;
+    return server.returnDeadline && now < *server.returnDeadline;
 }
 
 } // namespace
 
-auto adoptServers(ServerTable &table, const ServersListed &list, TimePoint now) -> void
+auto applyServerList(ServerTable &table, const ServersListed &list, TimePoint now) -> void
 {
-    const auto returnBy = returnOf(table, list.outageEndedAt);
+    const auto returnDeadline = returnDeadlineFor(table, list.outageEndedAt);
     std::set<std::string_view> present;
     for (const auto &record : list.servers) {
         present.insert(record.id);
-        takeRecord(table, record);
+        applyRecord(table, record);
     }
-    std::erase_if(table.byId, [&](const auto &item) { return !present.contains(item.first) && !mayReturn(*item.second, returnBy, now); });
-    table.listedAt = std::max(table.listedAt, list.asOf);
+    std::erase_if(table.byId, [&](const auto &item) { return !present.contains(item.first) && !keepUntilReturn(*item.second, returnDeadline, now); });
+    table.listAsOf = std::max(table.listAsOf, list.asOf);
     indexByService(table);
 }
 
-auto adoptChanges(ServerTable &table, const ServersChanged &change, TimePoint now) -> void
+auto applyServerChanges(ServerTable &table, const ServersChanged &change, TimePoint now) -> void
 {
-    const auto returnBy = returnOf(table, change.outageEndedAt);
+    const auto returnDeadline = returnDeadlineFor(table, change.outageEndedAt);
     auto isOther = false;
     for (const auto &record : change.changed) {
-        isOther = takeRecord(table, record) || isOther;
+        isOther = applyRecord(table, record) || isOther;
     }
     for (const auto &id : change.removed) {
         const auto found = table.byId.find(id);
-        if (found != table.byId.end() && !mayReturn(*found->second, returnBy, now)) {
+        if (found != table.byId.end() && !keepUntilReturn(*found->second, returnDeadline, now)) {
             table.byId.erase(found);
         }
         isOther = true;
     }
-    table.listedAt = std::max(table.listedAt, change.asOf);
+    table.listAsOf = std::max(table.listAsOf, change.asOf);
     if (isOther) {
         indexByService(table);
     }
 }
 
-auto dropMissing(ServerTable &table, TimePoint now) -> void
+auto removeLapsedServers(ServerTable &table, TimePoint now) -> void
 {
-    if (!table.awaitsReturns) {
+    if (!table.hasLapsedServers) {
         return;
     }
     const auto dropped = std::erase_if(table.byId, [now](const auto &item) {
-        const auto &returnBy = item.second->returnBy;
-        return returnBy && now >= *returnBy;
+        const auto &returnDeadline = item.second->returnDeadline;
+        return returnDeadline && now >= *returnDeadline;
     });
     if (dropped > 0) {
         indexByService(table);
@@ -169,26 +169,26 @@
 {
 
 /// A statement that there is no limit any more is told for this long; entries that miss it learn it from their next answer.
-constexpr Duration EndIsToldFor = std::chrono::seconds(3);
+constexpr Duration LimitEndReportedFor = std::chrono::seconds(3);
 
-auto rankAmong(const ServerTable &table, const ServerState &server) -> std::uint32_t
+auto senderRankOf(const ServerTable &table, const ServerState &server) -> std::uint32_t
 {
     const auto drawOf = [&server](std::uint64_t entry) { return XXH64(&entry, sizeof entry, server.hash); };
-    const auto own = drawOf(table.ownHash);
+    const auto own = drawOf(table.ownNameHash);
     const auto isBefore = [&](std::uint64_t entry) { return drawOf(entry) > own; };
-    return static_cast<std::uint32_t>(std::count_if(table.entryHashes.begin(), table.entryHashes.end(), isBefore));
+    return static_cast<std::uint32_t>(std::count_if(table.entryNameHashes.begin(), table.entryNameHashes.end(), isBefore));
 }
 
-auto noteLimitChanged(ServerTable &table, ServerState &server) -> void
+auto handleLimitChange(ServerTable &table, ServerState &server) -> void
 {
-    server.limit.rank = rankAmong(table, server);
+    server.limit.rank = senderRankOf(table, server);
     countLimited(table);
     if (auto known = findServer(table, server.record.id)) {
         table.changedLimits.push_back(std::move(known));
     }
 }
 
-auto statementOfScope(ServerLimit &limit, ReportScope scope) -> LimitStatement &
+auto statementForScope(ServerLimit &limit, ReportScope scope) -> LimitStatement &
 {
     switch (scope) {
     case ReportScope::Entry:
@@ -203,41 +203,41 @@
 
 } // namespace
 
-auto noteEntries(ServerTable &table, const std::vector<std::string> &names) -> void
+auto setEntryNames(ServerTable &table, const std::vector<std::string> &names) -> void
 {
-    table.entryHashes.clear();
-    std::transform(names.begin(), names.end(), std::back_inserter(table.entryHashes), hashOf);
+    table.entryNameHashes.clear();
+    std::transform(names.begin(), names.end(), std::back_inserter(table.entryNameHashes), hashOf);
     for (const auto &[id, server] : table.byId) {
         if (isLimited(server->limit)) {
-            server->limit.rank = rankAmong(table, *server);
+            server->limit.rank = senderRankOf(table, *server);
         }
     }
 }
 
-auto noteLimitStated(ServerTable &table, ServerState &server, std::optional<double> perSecond, TimePoint sentAt, TimePoint now) -> void
+auto recordLimitStatement(ServerTable &table, ServerState &server, std::optional<double> perSecond, TimePoint sentAt, TimePoint now) -> void
 {
     const auto isChanged = noteStated(server.limit, perSecond, sentAt, now);
-    if (limitToTell(server, ReportScope::Entry, now)) {
-        noteUsed(table, server);
+    if (limitForReport(server, ReportScope::Entry, now)) {
+        markReportable(table, server);
     }
     if (isChanged) {
-        noteLimitChanged(table, server);
+        handleLimitChange(table, server);
     }
 }
 
-auto hearLimit(ServerTable &table, ServerState &server, const LimitStatement &statement, ReportScope scope) -> void
+auto applyPeerLimit(ServerTable &table, ServerState &server, const LimitStatement &statement, ReportScope scope) -> void
 {
-    auto &known = statementOfScope(server.limit, scope);
+    auto &known = statementForScope(server.limit, scope);
     const auto before = statementOf(server.limit).perSecond;
     if (statement.at > known.at) {
         known = statement;
     }
     if (statementOf(server.limit).perSecond != before) {
-        noteLimitChanged(table, server);
+        handleLimitChange(table, server);
     }
 }
 
-auto limitToTell(const ServerState &server, ReportScope scope, TimePoint now) -> std::optional<PeerReported::Limit>
+auto limitForReport(const ServerState &server, ReportScope scope, TimePoint now) -> std::optional<PeerReported::Limit>
 {
     auto newest = server.limit.own;
     const auto take = [&newest](const LimitStatement &statement) { newest = statement.at > newest.at ? statement : newest; };
@@ -247,20 +247,20 @@
     if (scope == ReportScope::Fleet) {
         take(server.limit.ofDomains);
     }
-    const auto isNews = newest.perSecond ? isLimited(server.limit) : now - newest.at < EndIsToldFor && newest.at != TimePoint();
+    const auto isNews = newest.perSecond ? isLimited(server.limit) : now - newest.at < LimitEndReportedFor && newest.at != TimePoint();
     return isNews ? std::optional(PeerReported::Limit{ .perSecond = newest.perSecond, .age = now - newest.at }) : std::nullopt;
 }
 
-auto partOf(const ServerGroup &group, std::uint64_t key) -> std::size_t
+auto shardForKey(const ServerGroup &group, std::uint64_t key) -> std::size_t
 {
-    return key % group.parts.size();
+    return key % group.shards.size();
 }
 
-auto secondPartOf(const ServerGroup &group, std::uint64_t key) -> std::size_t
+auto fallbackShardForKey(const ServerGroup &group, std::uint64_t key) -> std::size_t
 {
-    const auto others = group.parts.size() - 1;
-    const auto step = others == 0 ? 0 : 1 + key / group.parts.size() % others;
-    return (partOf(group, key) + step) % group.parts.size();
+    const auto others = group.shards.size() - 1;
+    const auto step = others == 0 ? 0 : 1 + key / group.shards.size() % others;
+    return (shardForKey(group, key) + step) % group.shards.size();
 }
 
 auto findServer(const ServerTable &table, std::string_view id) -> ServerPointer
@@ -269,41 +269,41 @@
     return found == table.byId.end() ? nullptr : found->second;
 }
 
-auto noteUsed(ServerTable &table, const ServerState &server) -> void
+auto markReportable(ServerTable &table, const ServerState &server) -> void
 {
     if (auto known = findServer(table, server.record.id)) {
-        table.used[server.record.id] = std::move(known);
+        table.reportableServers[server.record.id] = std::move(known);
     }
 }
 
-auto noteSent(ServerTable &table, ServerState &server, const Load &load, Duration expected, TimePoint now) -> void
+auto recordSend(ServerTable &table, ServerState &server, const RequestLoad &load, Duration expected, TimePoint now) -> void
 {
-    noteUsed(table, server);
-    server.own.inFlight += 1;
-    server.own.unreadTokens += load.unreadTokens;
-    server.own.heldTokens += load.heldTokens;
-    server.own.shortPrompts += load.isShort ? 1 : 0;
+    markReportable(table, server);
+    server.ownLoad.inFlight += 1;
+    server.ownLoad.unreadTokens += load.unreadTokens;
+    server.ownLoad.heldTokens += load.heldTokens;
+    server.ownLoad.shortPrompts += load.isShort ? 1 : 0;
     if (isLimited(server.limit)) {
         addOne(server.limit.sent, now);
     }
-    server.sentAt = now;
-    if (!server.silentFrom) {
-        server.silentFrom = now + std::max(LeastSilence, expected * SilenceFactor);
+    server.lastSentAt = now;
+    if (!server.responseDueAt) {
+        server.responseDueAt = now + std::max(MinSilence, expected * SilenceFactor);
     }
 }
 
-auto noteHeard(ServerState &server) -> void
+auto recordActivity(ServerState &server) -> void
 {
-    server.silentFrom.reset();
-    server.failuresInRow = 0;
+    server.responseDueAt.reset();
+    server.consecutiveFailures = 0;
 }
 
-auto noteRead(ServerState &server, const Load &load) -> void
+auto recordPromptRead(ServerState &server, const RequestLoad &load) -> void
 {
-    server.own.unreadTokens -= std::min(server.own.unreadTokens, load.unreadTokens);
+    server.ownLoad.unreadTokens -= std::min(server.ownLoad.unreadTokens, load.unreadTokens);
 }
 
-auto noteStartTime(ServerState &server, Duration observed, Duration expected) -> double
+auto recordFirstByteTime(ServerState &server, Duration observed, Duration expected) -> double
 {
     constexpr Duration ShortestExpected = std::chrono::milliseconds(10);
     const auto ratio = static_cast<double>(observed.count()) / static_cast<double>(std::max(expected, ShortestExpected).count());
@@ -312,75 +312,75 @@
     return bounded;
 }
 
-auto failureRateOf(const ServerState &server, TimePoint now) -> double
+auto currentFailureRate(const ServerState &server, TimePoint now) -> double
 {
-    const auto elapsed = std::chrono::duration<double>(now - server.failureRateAt) / std::chrono::duration<double>(FailureMemory);
+    const auto elapsed = std::chrono::duration<double>(now - server.failureRateAt) / std::chrono::duration<double>(FailureDecayTime);
     return server.failureRate * std::exp(-elapsed);
 }
 
 namespace
 {
 
-auto noteOutcome(ServerState &server, double failed, TimePoint now) -> void
+auto recordOutcome(ServerState &server, double failed, TimePoint now) -> void
 {
-    const auto before = failureRateOf(server, now);
+    const auto before = currentFailureRate(server, now);
     server.failureRate = before + OutcomeWeight * (failed - before);
     server.failureRateAt = now;
 }
 
 } // namespace
 
-auto noteSucceeded(ServerState &server, TimePoint now) -> void
+auto recordSuccess(ServerState &server, TimePoint now) -> void
 {
-    noteHeard(server);
-    noteOutcome(server, 0, now);
+    recordActivity(server);
+    recordOutcome(server, 0, now);
 }
 
-auto noteFailed(ServerState &server, Failure failure, TimePoint now) -> void
+auto recordFailure(ServerState &server, Failure failure, TimePoint now) -> void
 {
-    noteOutcome(server, 1, now);
+    recordOutcome(server, 1, now);
     const auto isDead = failure == Failure::ConnectFailed || failure == Failure::WrongServer || failure == Failure::FirstTokenTimeout
         || failure == Failure::ProgressTimeout || looksLikeCrash(failure);
     if (!isDead) {
         return;
     }
     constexpr std::uint32_t MostDoublings = 4;
-    const auto doublings = std::min(server.failuresInRow, MostDoublings);
+    const auto doublings = std::min(server.consecutiveFailures, MostDoublings);
     const auto pause = std::min(LeastSuspension * (1 << doublings), LongestSuspension);
-    server.failuresInRow += 1;
+    server.consecutiveFailures += 1;
     server.suspendedUntil = std::max(server.suspendedUntil, now + pause);
 }
 
-auto noteEnded(ServerState &server, const Load &load) -> void
+auto recordAttemptEnd(ServerState &server, const RequestLoad &load) -> void
 {
-    server.own.inFlight -= std::min<std::uint32_t>(server.own.inFlight, 1);
-    server.own.heldTokens -= std::min(server.own.heldTokens, load.heldTokens);
-    server.own.shortPrompts -= std::min<std::uint32_t>(server.own.shortPrompts, load.isShort ? 1 : 0);
-    if (server.own.inFlight == 0) {
-        server.silentFrom.reset();
+    server.ownLoad.inFlight -= std::min<std::uint32_t>(server.ownLoad.inFlight, 1);
+    server.ownLoad.heldTokens -= std::min(server.ownLoad.heldTokens, load.heldTokens);
+    server.ownLoad.shortPrompts -= std::min<std::uint32_t>(server.ownLoad.shortPrompts, load.isShort ? 1 : 0);
+    if (server.ownLoad.inFlight == 0) {
+        server.responseDueAt.reset();
     }
 }
 
-auto totalWork(const ServerState &server) -> Work
+auto totalLoad(const ServerState &server) -> ServerLoad
 {
     return {
-        .inFlight = server.own.inFlight + server.others.inFlight,
-        .unreadTokens = server.own.unreadTokens + server.others.unreadTokens,
-        .heldTokens = server.own.heldTokens + server.others.heldTokens,
-        .waitingTokens = server.own.waitingTokens + server.others.waitingTokens,
-        .shortPrompts = server.own.shortPrompts + server.others.shortPrompts,
-        .sentLately = server.own.sentLately + server.others.sentLately,
+        .inFlight = server.ownLoad.inFlight + server.peerLoad.inFlight,
+        .unreadTokens = server.ownLoad.unreadTokens + server.peerLoad.unreadTokens,
+        .heldTokens = server.ownLoad.heldTokens + server.peerLoad.heldTokens,
+        .waitingTokens = server.ownLoad.waitingTokens + server.peerLoad.waitingTokens,
+        .shortPrompts = server.ownLoad.shortPrompts + server.peerLoad.shortPrompts,
+        .sentLately = server.ownLoad.sentLately + server.peerLoad.sentLately,
     };
 }
 
-auto isSilent(const ServerState &server, TimePoint now) -> bool
+auto isUnresponsive(const ServerState &server, TimePoint now) -> bool
 {
-    return server.silentFrom && now > *server.silentFrom && now - server.sentAt < SilenceProbe;
+    return server.responseDueAt && now > *server.responseDueAt && now - server.lastSentAt < SilenceProbe;
 }
 
 auto isUsable(const ServerState &server, TimePoint now) -> bool
 {
-    return !server.record.isLeaving && now >= server.suspendedUntil && now >= server.ejectedUntil && !isSilent(server, now);
+    return !server.record.isLeaving && now >= server.suspendedUntil && now >= server.ejectedUntil && !isUnresponsive(server, now);
 }
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/tests/ejection_tests.cpp
+++ b/src/core/passthrough/tests/ejection_tests.cpp
@@ -24,7 +24,7 @@
     for (auto i = 0; i < engines; ++i) {
         records.push_back({ .id = "e" + std::to_string(i), .service = "engines", .slots = 16 });
     }
-    adoptServers(table, { .servers = records, .asOf = Now }, Now);
+    applyServerList(table, { .servers = records, .asOf = Now }, Now);
     return table;
 }
 
@@ -93,7 +93,7 @@
     const auto &server = *other.byId.at("e1");
     EXPECT_FALSE(isUsable(server, Now + std::chrono::milliseconds(900)));
     EXPECT_TRUE(isUsable(server, Now + std::chrono::milliseconds(2100)));
-    EXPECT_TRUE(isSuspected(server.errors)) << "it is tried with one request at a time";
+    EXPECT_TRUE(isSuspected(server.errorEvidence)) << "it is tried with one request at a time";
 }
 
 /// Guards against an entry with a bad link that takes servers away from all others.
--- a/src/core/passthrough/tests/manyservers_tests.cpp
+++ b/src/core/passthrough/tests/manyservers_tests.cpp
@@ -28,7 +28,7 @@
 auto makeTable(int engines) -> ServerTable
 {
     ServerTable table{ .failureDomain = "a" };
-    adoptServers(table, { .servers = makeEngines(engines), .asOf = Now }, Now);
+    applyServerList(table, { .servers = makeEngines(engines), .asOf = Now }, Now);
     return table;
 }
 
@@ -41,14 +41,14 @@
         const auto table = makeTable(engines);
         const auto &group = table.byService.at("engines");
         std::set<std::string> seen;
-        for (const auto &part : group.parts) {
+        for (const auto &part : group.shards) {
             EXPECT_LE(part.size(), Most);
             for (const auto &server : part) {
                 seen.insert(server->record.id);
             }
         }
         EXPECT_EQ(seen.size(), static_cast<std::size_t>(engines));
-        EXPECT_EQ(group.parts.size() == 1, engines <= 256);
+        EXPECT_EQ(group.shards.size() == 1, engines <= 256);
     }
 }
 
@@ -57,7 +57,7 @@
     const auto table = makeTable(3000);
     const auto &group = table.byService.at("engines");
     for (std::uint64_t key = 0; key < 1000; ++key) {
-        EXPECT_NE(partOf(group, key), secondPartOf(group, key));
+        EXPECT_NE(shardForKey(group, key), fallbackShardForKey(group, key));
     }
 }
 
@@ -75,7 +75,7 @@
     ASSERT_TRUE(first);
     const auto &group = world.router().servers.byService.at("engines");
     PeerReported full{ .entry = "entry-2" };
-    for (const auto &part : group.parts) {
+    for (const auto &part : group.shards) {
         const auto holdsFirst = std::any_of(part.begin(), part.end(), [&first](const ServerPointer &server) { return server->record.id == first->server; });
         for (const auto &server : part) {
             if (holdsFirst) {
@@ -118,8 +118,8 @@
     const auto later = Now + std::chrono::seconds(1);
     const ServersChanged change{ .changed = { servers[4], servers[20] }, .removed = { "e7" }, .asOf = later };
     servers.erase(servers.begin() + 7);
-    adoptServers(byList, { .servers = servers, .asOf = later }, later);
-    adoptChanges(byChange, change, later);
+    applyServerList(byList, { .servers = servers, .asOf = later }, later);
+    applyServerChanges(byChange, change, later);
     ASSERT_EQ(byList.byId.size(), byChange.byId.size());
     for (const auto &[id, server] : byList.byId) {
         EXPECT_EQ(server->record, byChange.byId.at(id)->record);
@@ -132,10 +132,10 @@
 {
     auto table = makeTable(3);
     const auto back = Now + std::chrono::seconds(5);
-    adoptChanges(table, { .removed = { "e1" }, .asOf = back, .outageEndedAt = back }, back);
+    applyServerChanges(table, { .removed = { "e1" }, .asOf = back, .outageEndedAt = back }, back);
     EXPECT_TRUE(findServer(table, "e1"));
-    dropMissing(table, back + ReturnTime);
+    removeLapsedServers(table, back + ReturnTime);
     EXPECT_FALSE(findServer(table, "e1"));
-    adoptChanges(table, { .removed = { "e2" }, .asOf = back + ReturnTime, .outageEndedAt = back }, back + ReturnTime);
+    applyServerChanges(table, { .removed = { "e2" }, .asOf = back + ReturnTime, .outageEndedAt = back }, back + ReturnTime);
     EXPECT_FALSE(findServer(table, "e2")) << "it stood in a list since";
 }
--- a/src/core/passthrough/tests/overload_tests.cpp
+++ b/src/core/passthrough/tests/overload_tests.cpp
@@ -133,22 +133,22 @@
 {
     ServerTable table;
     const TimePoint now(std::chrono::hours(1));
-    adoptServers(table, { .servers = makeServers() }, now);
+    applyServerList(table, { .servers = makeServers() }, now);
     auto &server = *findServer(table, "e1");
-    const Load load{ .unreadTokens = 3000, .heldTokens = 9000 };
-    noteSent(table, server, load, Duration::zero(), now);
-    noteSent(table, server, load, Duration::zero(), now);
+    const RequestLoad load{ .unreadTokens = 3000, .heldTokens = 9000 };
+    recordSend(table, server, load, Duration::zero(), now);
+    recordSend(table, server, load, Duration::zero(), now);
     takeReport(table, "entry-1", {});
     notePeerReport(
         table, { .entry = "reader", .scope = ReportScope::Fleet, .entries = 5, .uses = { { .server = "e1", .inFlight = 10, .unreadTokens = 30'000 } } }, now);
-    EXPECT_EQ(totalWork(server).inFlight, 10U);
-    EXPECT_EQ(totalWork(server).unreadTokens, 30'000U);
-    noteRead(server, load);
-    noteEnded(server, load);
-    EXPECT_EQ(totalWork(server).inFlight, 9U);
-    EXPECT_EQ(totalWork(server).unreadTokens, 27'000U);
+    EXPECT_EQ(totalLoad(server).inFlight, 10U);
+    EXPECT_EQ(totalLoad(server).unreadTokens, 30'000U);
+    recordPromptRead(server, load);
+    recordAttemptEnd(server, load);
+    EXPECT_EQ(totalLoad(server).inFlight, 9U);
+    EXPECT_EQ(totalLoad(server).unreadTokens, 27'000U);
     expirePeerReports(table, now + std::chrono::seconds(2));
-    EXPECT_EQ(totalWork(server).inFlight, 1U) << "an old sum says nothing";
+    EXPECT_EQ(totalLoad(server).inFlight, 1U) << "an old sum says nothing";
 }
 
 namespace
@@ -163,12 +163,12 @@
     Told()
     {
         table.failureDomain = "a";
-        adoptServers(table, { .servers = makeServers() }, now);
+        applyServerList(table, { .servers = makeServers() }, now);
     }
 
     [[nodiscard]] auto believed() const -> std::uint32_t
     {
-        return totalWork(*findServer(table, "e1")).inFlight;
+        return totalLoad(*findServer(table, "e1")).inFlight;
     }
 
     const TimePoint now{ std::chrono::hours(1) };
--- a/src/core/passthrough/tests/placement_tests.cpp
+++ b/src/core/passthrough/tests/placement_tests.cpp
@@ -21,7 +21,7 @@
     for (auto i = 0; i < count; ++i) {
         records.push_back({ .id = "engine-" + std::to_string(i), .service = "engines", .slots = 32 });
     }
-    adoptServers(table, { .servers = records }, Now);
+    applyServerList(table, { .servers = records }, Now);
     return table.byService["engines"].all;
 }
 
@@ -68,7 +68,7 @@
         const auto quote = makeQuote(78);
         const auto engines = makeEngines(18);
         const auto home = choosePlacement(engines, { .prompt = &quote, .tieBreak = entry }, {}, Now).server;
-        home->others.unreadTokens = 60'000;
+        home->peerLoad.unreadTokens = 60'000;
         second[choosePlacement(engines, { .prompt = &quote, .tieBreak = entry }, {}, Now).server->record.id] += 1;
     }
     EXPECT_EQ(second.size(), 1U);
@@ -86,13 +86,13 @@
     EXPECT_FALSE(home.mustWait);
     cacheSharedParts(*home.server, quote);
     for (const auto &engine : engines) {
-        engine->others.unreadTokens = 15'000;
+        engine->peerLoad.unreadTokens = 15'000;
     }
     const auto waiting = choosePlacement(engines, query, {}, Now);
     EXPECT_EQ(waiting.server, home.server);
     EXPECT_TRUE(waiting.mustWait);
     const auto other = engines.front() == home.server ? engines.back() : engines.front();
-    other->others.unreadTokens = 0;
+    other->peerLoad.unreadTokens = 0;
     const auto sent = choosePlacement(engines, query, {}, Now);
     EXPECT_EQ(sent.server, other);
     EXPECT_FALSE(sent.mustWait);
@@ -106,7 +106,7 @@
 {
     const auto quote = makeQuote(79);
     const auto engines = makeEngines(2);
-    engines[1]->others.unreadTokens = 100'000;
+    engines[1]->peerLoad.unreadTokens = 100'000;
     const PlacementQuery query{ .prompt = &quote, .fetchTokensPerMs = 176 };
     for (std::size_t i = 0; i + 1 < quote.parts.size(); ++i) {
         noteUse(engines[1]->cache, quote.parts[i], 0, Now - std::chrono::milliseconds(100));
@@ -129,9 +129,9 @@
     PlacementQuery query{ .prompt = &quote, .maxQueueTime = std::chrono::milliseconds(270) };
     const auto home = choosePlacement(engines, query, {}, Now).server;
     for (const auto &engine : engines) {
-        engine->others.unreadTokens = engine == home ? 0 : 60'000;
+        engine->peerLoad.unreadTokens = engine == home ? 0 : 60'000;
     }
-    home->others.waitingTokens = Entries * TokensEach;
+    home->peerLoad.waitingTokens = Entries * TokensEach;
     auto sent = 0;
     constexpr auto Rounds = 50;
     for (std::uint64_t round = 0; round < Rounds; ++round) {
@@ -152,9 +152,9 @@
     const auto engines = makeEngines(18);
     const auto home = choosePlacement(engines, { .prompt = &quote }, {}, Now).server;
     cacheSharedParts(*home, quote);
-    home->others.unreadTokens = 10'000;
+    home->peerLoad.unreadTokens = 10'000;
     EXPECT_EQ(choosePlacement(engines, { .prompt = &quote }, {}, Now).server, home);
-    home->others.unreadTokens = 120'000;
+    home->peerLoad.unreadTokens = 120'000;
     EXPECT_NE(choosePlacement(engines, { .prompt = &quote }, {}, Now).server, home);
 }
 
@@ -164,9 +164,9 @@
 {
     const auto engines = makeEngines(18);
     EngineSplit split;
-    engines.front()->others.shortPrompts = 100;
+    engines.front()->peerLoad.shortPrompts = 100;
     updateSplit(split, engines, Now);
-    engines.front()->others.shortPrompts = 0;
+    engines.front()->peerLoad.shortPrompts = 0;
     ASSERT_GT(split.shortPromptEngines, 2U);
     ASSERT_LT(split.shortPromptEngines, 12U);
     std::map<std::string, int> kinds;
@@ -187,10 +187,10 @@
 {
     const auto engines = makeEngines(18);
     EngineSplit split;
-    engines[0]->others.shortPrompts = 200;
+    engines[0]->peerLoad.shortPrompts = 200;
     updateSplit(split, engines, Now);
     const auto most = split.shortPromptEngines;
-    engines[0]->others.shortPrompts = 20;
+    engines[0]->peerLoad.shortPrompts = 20;
     updateSplit(split, engines, Now + std::chrono::milliseconds(500));
     EXPECT_GE(split.shortPromptEngines + 2, most);
     updateSplit(split, engines, Now + std::chrono::seconds(30));
@@ -206,11 +206,11 @@
     const auto engines = makeEngines(2);
     const PlacementQuery query{ .prompt = &quote, .peersKnown = true, .cacheTokens = 292'000 };
     const auto home = choosePlacement(engines, query, {}, Now).server;
-    home->others.heldTokens = 245'000;
+    home->peerLoad.heldTokens = 245'000;
     const auto other = choosePlacement(engines, query, {}, Now).server;
     ASSERT_TRUE(other);
     EXPECT_NE(other, home);
-    other->others.heldTokens = 245'000;
+    other->peerLoad.heldTokens = 245'000;
     EXPECT_FALSE(choosePlacement(engines, query, {}, Now).server);
 }
 
@@ -229,9 +229,9 @@
     const auto check = makeCheck(9);
     const auto engines = makeEngines(2);
     for (const auto &engine : engines) {
-        engine->others.inFlight = 40;
+        engine->peerLoad.inFlight = 40;
     }
     EXPECT_FALSE(choosePlacement(engines, { .prompt = &check, .entries = 7, .peersKnown = true }, {}, Now).server);
-    engines[1]->others.inFlight = 3;
+    engines[1]->peerLoad.inFlight = 3;
     EXPECT_EQ(choosePlacement(engines, { .prompt = &check, .entries = 7, .peersKnown = true }, {}, Now).server, engines[1]);
 }
--- a/src/core/passthrough/tests/servers_tests.cpp
+++ b/src/core/passthrough/tests/servers_tests.cpp
@@ -67,17 +67,17 @@
 {
     ServerTable table;
     Server record = makeServer("e1", "engines", 32);
-    adoptServers(table, { .servers = { record } }, {});
+    applyServerList(table, { .servers = { record } }, {});
     const auto before = findServer(table, "e1");
-    noteSent(table, *before, { .unreadTokens = 9000, .heldTokens = 9000 }, {}, {});
+    recordSend(table, *before, { .unreadTokens = 9000, .heldTokens = 9000 }, {}, {});
     record.startedAt = 1;
-    adoptServers(table, { .servers = { record } }, {});
+    applyServerList(table, { .servers = { record } }, {});
     const auto after = findServer(table, "e1");
-    EXPECT_EQ(after->own.inFlight, 0U);
-    noteSent(table, *after, { .unreadTokens = 100, .heldTokens = 100 }, {}, {});
-    noteEnded(*before, { .unreadTokens = 9000, .heldTokens = 9000 });
-    EXPECT_EQ(after->own.inFlight, 1U);
-    EXPECT_EQ(after->own.unreadTokens, 100U);
+    EXPECT_EQ(after->ownLoad.inFlight, 0U);
+    recordSend(table, *after, { .unreadTokens = 100, .heldTokens = 100 }, {}, {});
+    recordAttemptEnd(*before, { .unreadTokens = 9000, .heldTokens = 9000 });
+    EXPECT_EQ(after->ownLoad.inFlight, 1U);
+    EXPECT_EQ(after->ownLoad.unreadTokens, 100U);
 }
 
 /// What callers see: every request refused, although all servers live. The store was away so long that registrations
--- a/src/gateway/tests/messages_tests.cpp
+++ b/src/gateway/tests/messages_tests.cpp
@@ -54,10 +54,10 @@
     for (auto i = 0; i < Servers; ++i) {
         list.servers.push_back({ .id = "i-0123456" + std::to_string(100'000 + i), .service = "engines" });
     }
-    passthrough::adoptServers(table, list, now);
+    passthrough::applyServerList(table, list, now);
     for (const auto &[id, server] : table.byId) {
-        passthrough::noteSent(table, *server, { .unreadTokens = 70'000, .heldTokens = 70'000, .isShort = true }, Duration::zero(), now);
-        passthrough::noteLimitStated(table, *server, 1.4, now, now);
+        passthrough::recordSend(table, *server, { .unreadTokens = 70'000, .heldTokens = 70'000, .isShort = true }, Duration::zero(), now);
+        passthrough::recordLimitStatement(table, *server, 1.4, now, now);
     }
     const auto sum = passthrough::takeSum(table, "entry-with-a-long-name", passthrough::ReportScope::Fleet, now + std::chrono::seconds(70));
     EXPECT_LE(encodePeerMessage(sum).size(), 8192U);
