--- a/src/core/passthrough/tests/belief.cpp
+++ b/src/core/passthrough/tests/belief.cpp
@@ -5,9 +5,9 @@
 namespace auburnspread::passthrough::tests
 {
 
-auto believedPart(const FleetSize &size, const ReportTroubles &troubles) -> BeliefRange
+auto simulateEstimates(const FleetSize &size, const ReportFaults &faults) -> EstimateRange
 {
-    constexpr double LongPromptsPerEngine = 3.7; // a second, as Highveld's larger fleet has them
+    constexpr double LongPromptsPerEngine = 3.7; // per second
     constexpr double ShortPromptsPerEngine = 3.1;
     const auto result = replay({
         .load = {
@@ -19,15 +19,15 @@
             .sessions = 10 * size.engines,
             .length = std::chrono::seconds(3),
         },
-        .reports = troubles,
+        .reports = faults,
         .rest = std::chrono::seconds(0),
     });
-    constexpr std::size_t FirstAfterTroubles = 4; // of half a second each
-    constexpr std::size_t End = 6;
-    BeliefRange range;
-    for (auto i = FirstAfterTroubles; i < End; ++i) {
-        range.least = std::min(range.least, result.beliefs.at(i).part());
-        range.most = std::max(range.most, result.beliefs.at(i).part());
+    constexpr std::size_t FirstInterval = 4; // counted in intervals of half a second; the faults begin with interval 3
+    constexpr std::size_t EndInterval = 6;
+    EstimateRange range;
+    for (auto i = FirstInterval; i < EndInterval; ++i) {
+        range.least = std::min(range.least, result.workEstimates.at(i).ratio());
+        range.most = std::max(range.most, result.workEstimates.at(i).ratio());
     }
     return range;
 }
--- a/src/core/passthrough/tests/belief.h
+++ b/src/core/passthrough/tests/belief.h
@@ -1,5 +1,5 @@
 /// \file
-/// How much of the true work on the engines that they choose entries believe, in the replay.
+/// Measures, by simulation, how closely the entries' estimates match the actual work on the engines that they choose.
 
 #pragma once
 
@@ -15,16 +15,16 @@
     std::size_t engines = 0;
 };
 
-/// Of the true work, half a second after any loss; and none of it twice.
-constexpr double LeastBelieved = 0.8;
-constexpr double MostBelieved = 1.1;
+/// Bounds on the ratio of estimated to actual work, from half a second after a fault on: little may be missing, and none counted twice.
+constexpr double MinEstimateRatio = 0.8;
+constexpr double MaxEstimateRatio = 1.1;
 
-/// The least and the most in a half second, from half a second after the troubles begin on.
-struct BeliefRange {
+/// Smallest and greatest ratio of estimated to actual work in any half second, from half a second after the faults begin.
+struct EstimateRange {
     double least = 1;
     double most = 1;
 };
 
-auto believedPart(const FleetSize &size, const ReportTroubles &troubles) -> BeliefRange;
+auto simulateEstimates(const FleetSize &size, const ReportFaults &faults) -> EstimateRange;
 
 } // namespace auburnspread::passthrough::tests
--- a/src/core/passthrough/tests/belief_tests.cpp
+++ b/src/core/passthrough/tests/belief_tests.cpp
@@ -11,29 +11,29 @@
 constexpr FleetSize Small{ .entries = 7, .engines = 18 };
 constexpr FleetSize Grown{ .entries = 66, .engines = 60 };
 
-auto expectTrue(const BeliefRange &believed, const FleetSize &size) -> void
+auto expectWithinBounds(const EstimateRange &range, const FleetSize &size) -> void
 {
-    EXPECT_GT(believed.least, LeastBelieved) << size.entries;
-    EXPECT_LT(believed.most, MostBelieved) << size.entries;
+    EXPECT_GT(range.least, MinEstimateRatio) << size.entries;
+    EXPECT_LT(range.most, MaxEstimateRatio) << size.entries;
 }
 
 } // namespace
 
-/// What callers see: quotes sent to engines that are full, as the entry believes a third of what runs there. Reports are summed up by
-/// entries that die, or that know only a part of the fleet.
-TEST(BeliefTests, mostOfTheTrueWorkIsBelieved)
+/// Guards against requests that are sent to full engines because the entry knows of only a third of the work there. Reports are summed up
+/// by hubs, which may stop or may know only a part of the fleet.
+TEST(BeliefTests, estimatesMatchTheActualWork)
 {
     for (const auto &size : { Small, Grown }) {
-        expectTrue(believedPart(size, { .failureDomains = 5 }), size);
+        expectWithinBounds(simulateEstimates(size, { .failureDomains = 5 }), size);
     }
 }
 
-TEST(BeliefTests, andWhenTwoHubsAreLost)
+TEST(BeliefTests, estimatesMatchAfterTwoHubsAreLost)
 {
-    expectTrue(believedPart(Grown, { .failureDomains = 5, .lostHubs = 2 }), Grown);
+    expectWithinBounds(simulateEstimates(Grown, { .failureDomains = 5, .lostHubs = 2 }), Grown);
 }
 
-TEST(BeliefTests, andWhenAThirdOfTheEntriesKnowsOnlyTheOthers)
+TEST(BeliefTests, estimatesMatchWhenAThirdOfTheEntriesKnowsOnlyTheOthers)
 {
-    expectTrue(believedPart(Grown, { .failureDomains = 5, .listsDiffer = true }), Grown);
+    expectWithinBounds(simulateEstimates(Grown, { .failureDomains = 5, .listsDiffer = true }), Grown);
 }
--- a/src/core/passthrough/tests/belieflarge_tests.cpp
+++ b/src/core/passthrough/tests/belieflarge_tests.cpp
@@ -10,26 +10,26 @@
 
 constexpr FleetSize Large{ .entries = 295, .engines = 160 };
 
-auto expectTrue(const BeliefRange &believed, const FleetSize &size) -> void
+auto expectWithinBounds(const EstimateRange &range, const FleetSize &size) -> void
 {
-    EXPECT_GT(believed.least, LeastBelieved) << size.entries;
-    EXPECT_LT(believed.most, MostBelieved) << size.entries;
+    EXPECT_GT(range.least, MinEstimateRatio) << size.entries;
+    EXPECT_LT(range.most, MaxEstimateRatio) << size.entries;
 }
 
 } // namespace
 
-/// The same as belief_tests with hundreds of entries; a program of its own, so that it can be listed as known without hiding others.
-TEST(BeliefLargeTests, mostOfTheTrueWorkIsBelieved)
+/// The same tests as belief_tests, with hundreds of entries. A separate program, so that its known failure does not hide others.
+TEST(BeliefLargeTests, estimatesMatchTheActualWork)
 {
-    expectTrue(believedPart(Large, { .failureDomains = 5 }), Large);
+    expectWithinBounds(simulateEstimates(Large, { .failureDomains = 5 }), Large);
 }
 
-TEST(BeliefLargeTests, andWhenTwoHubsAreLost)
+TEST(BeliefLargeTests, estimatesMatchAfterTwoHubsAreLost)
 {
-    expectTrue(believedPart(Large, { .failureDomains = 5, .lostHubs = 2 }), Large);
+    expectWithinBounds(simulateEstimates(Large, { .failureDomains = 5, .lostHubs = 2 }), Large);
 }
 
-TEST(BeliefLargeTests, andWhenAThirdOfTheEntriesKnowsOnlyTheOthers)
+TEST(BeliefLargeTests, estimatesMatchWhenAThirdOfTheEntriesKnowsOnlyTheOthers)
 {
-    expectTrue(believedPart(Large, { .failureDomains = 5, .listsDiffer = true }), Large);
+    expectWithinBounds(simulateEstimates(Large, { .failureDomains = 5, .listsDiffer = true }), Large);
 }
--- a/src/core/passthrough/tests/failingengines_tests.cpp
+++ b/src/core/passthrough/tests/failingengines_tests.cpp
@@ -21,8 +21,8 @@
 
 } // namespace
 
-/// Guards against an engine that fails at once and therefore draws what waits everywhere.
-TEST(ReplayTests, anEngineThatFailsAtOnceDrawsNoRequests)
+/// Guards against an engine that attracts the waiting requests of all entries because it fails each request at once.
+TEST(ReplayTests, anEngineThatFailsAtOnceAttractsNoRequests)
 {
     constexpr std::uint64_t MostFailed = 50;
     constexpr double MostShare = 2;
@@ -33,8 +33,8 @@
     }
 }
 
-/// The same with several engines, which are out of use at the same time.
-TEST(ReplayTests, threeEnginesThatFailAtOnceDrawNoRequests)
+/// The same with several engines, which are ejected at the same time.
+TEST(ReplayTests, threeEnginesThatFailAtOnceAttractNoRequests)
 {
     constexpr double MostShare = 2;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
--- a/src/core/passthrough/tests/replay.cpp
+++ b/src/core/passthrough/tests/replay.cpp
@@ -25,19 +25,19 @@
 {
 
 constexpr TimePoint Start(std::chrono::hours(1));
-constexpr Duration OneWay = std::chrono::milliseconds(1);
+constexpr Duration NetworkLatency = std::chrono::milliseconds(1);
 constexpr Duration TickInterval = std::chrono::milliseconds(20);
-constexpr Duration LongTarget = std::chrono::milliseconds(600);
-constexpr Duration ShortTarget = std::chrono::milliseconds(300);
-constexpr Duration LongLongestPause = std::chrono::milliseconds(400); ///< between events of a long prompt's answer
-constexpr Duration ShortLongestPause = std::chrono::milliseconds(250);
+constexpr Duration LongPromptTarget = std::chrono::milliseconds(600);
+constexpr Duration ShortPromptTarget = std::chrono::milliseconds(300);
+constexpr Duration LongPromptMaxPause = std::chrono::milliseconds(400); ///< between events of a long prompt's answer
+constexpr Duration ShortPromptMaxPause = std::chrono::milliseconds(250);
 constexpr Duration CallerDeadline = std::chrono::seconds(5);
 
-/// \name Engines as Highveld's larger fleet has them
+/// \name Properties of the modelled engines
 /// @{
 constexpr double StepMs = 4.7;
 constexpr double StepMsPerRunning = 0.05;
-constexpr double TokensPerMs = 41; ///< within a step; 37 with the steps themselves
+constexpr double TokensPerMs = 41; ///< reading speed within a step; 37 with the fixed time of the steps
 constexpr std::uint32_t ChunkTokens = 2048;
 constexpr std::uint32_t TokensPerEvent = 6;
 constexpr std::uint64_t CacheTokens = 292'000;
@@ -49,42 +49,42 @@
 constexpr std::uint32_t SessionTokens = 3780;
 constexpr std::uint32_t OwnTokens = 2890;
 constexpr std::uint32_t LongAnswerTokens = 20;
-constexpr std::uint32_t LongAnnouncedTokens = 54;
+constexpr std::uint32_t LongExpectedAnswerTokens = 54;
 constexpr std::uint32_t ShortSharedTokens = 198;
 constexpr std::uint32_t ShortOwnTokens = 628;
 constexpr std::uint32_t ShortAnswerTokens = 294;
 constexpr std::uint64_t Documents = 4;
-constexpr std::size_t MostDirectEntries = 13; ///< that tell each other themselves
+constexpr std::size_t MaxDirectEntries = 13; ///< larger fleets send their reports through hubs
 constexpr std::int64_t ReportsPerSum = 2;
-constexpr Duration BeliefInterval = std::chrono::milliseconds(500);
+constexpr Duration EstimateInterval = std::chrono::milliseconds(500);
 
 using detail::toDuration;
 
-/// One caller's request with its tries.
-struct Ask {
+/// A request of a caller, including its retry.
+struct CallerRequest {
     bool isLong = false;
     Prompt prompt;
-    TimePoint firstTry;
-    bool cameBack = false;
+    TimePoint firstSentAt;
+    bool hasRetried = false;
     bool isCounted = false;
     bool isLate = false;
 };
 
-/// A prompt at an engine, read or being read.
-struct Work {
+/// A request on an engine, waiting, being read or being answered.
+struct EngineRequest {
     std::size_t entry = 0;
     AttemptId attempt{};
-    std::size_t ask = 0;
-    std::uint32_t unread = 0;
-    std::uint32_t answerLeft = 0;
-    std::uint32_t sinceEvent = 0;
-    TimePoint lastEvent;
+    std::size_t requestIndex = 0;
+    std::uint32_t unreadTokens = 0;
+    std::uint32_t remainingAnswerTokens = 0;
+    std::uint32_t tokensSinceEvent = 0;
+    TimePoint lastEventAt;
 };
 
 struct Engine {
-    std::deque<Work> prompts;
-    std::vector<Work> running;
-    std::map<std::uint64_t, std::pair<std::uint32_t, TimePoint>> cache; ///< tokens and last use, by part
+    std::deque<EngineRequest> queue;
+    std::vector<EngineRequest> running;
+    std::map<std::uint64_t, std::pair<std::uint32_t, TimePoint>> cache; ///< token count and last use of each cached prompt part
     std::uint64_t cachedTokens = 0;
     bool isStepping = false;
 };
@@ -103,13 +103,13 @@
     auto run() -> ReplayResult
     {
         const auto end = Start + options_.load.length;
-        scheduleAsk(true);
-        scheduleAsk(false);
+        scheduleRequests(true);
+        scheduleRequests(false);
         tick();
-        report();
-        while (!queue_.empty() && queue_.top().at < end + options_.rest) {
-            auto next = queue_.top();
-            queue_.pop();
+        scheduleReports();
+        while (!actions_.empty() && actions_.top().at < end + options_.rest) {
+            auto next = actions_.top();
+            actions_.pop();
             now_ = next.at;
             next.action();
         }
@@ -117,34 +117,34 @@
     }
 
 private:
-    struct Planned {
+    struct ScheduledAction {
         TimePoint at;
         std::uint64_t order = 0;
         std::function<void()> action;
 
-        auto operator<(const Planned &other) const -> bool
+        auto operator<(const ScheduledAction &other) const -> bool
         {
             return std::pair(at, order) > std::pair(other.at, other.order);
         }
     };
 
-    auto after(Duration delay, std::function<void()> action) -> void
+    auto schedule(Duration delay, std::function<void()> action) -> void
     {
-        queue_.push({ now_ + delay, ++lastOrder_, std::move(action) });
+        actions_.push({ now_ + delay, ++lastSequence_, std::move(action) });
     }
 
     auto addRouters() -> void
     {
         auto configuration = makeConfiguration();
-        configuration.routes[0].target = LongTarget;
-        configuration.routes[1].target = ShortTarget;
+        configuration.routes[0].target = LongPromptTarget;
+        configuration.routes[1].target = ShortPromptTarget;
         configuration.services[0].fetchTokensPerMs = FetchTokensPerMs;
         std::vector<Server> servers;
         for (std::size_t i = 0; i < engines_.size(); ++i) {
             servers.push_back(makeServer("engine-" + std::to_string(i), "engines", 32));
             servers.back().address = "127.0.0.1:" + std::to_string(i + 1);
-            numbers_[servers.back().id] = i;
-            addresses_[servers.back().address] = i;
+            engineById_[servers.back().id] = i;
+            engineByAddress_[servers.back().address] = i;
         }
         for (std::size_t i = 0; i < options_.load.entries; ++i) {
             entries_.push_back({
@@ -166,13 +166,13 @@
         return std::string(1, static_cast<char>('a' + entry % options_.reports.failureDomains));
     }
 
-    [[nodiscard]] auto isDead(std::size_t entry) const -> bool
+    [[nodiscard]] auto isStopped(std::size_t entry) const -> bool
     {
         return isBurst() && entry < options_.reports.lostHubs;
     }
 
-    /// The entries that this one knows.
-    [[nodiscard]] auto knownTo(std::size_t entry) const -> std::vector<fleet::EntryRecord>
+    /// The entries that the given one knows.
+    [[nodiscard]] auto entriesKnownTo(std::size_t entry) const -> std::vector<fleet::EntryRecord>
     {
         constexpr std::size_t Third = 3;
         auto known = entries_;
@@ -182,7 +182,7 @@
         return known;
     }
 
-    auto drawBelow(std::size_t end) -> std::size_t
+    auto randomBelow(std::size_t end) -> std::size_t
     {
         return std::uniform_int_distribution<std::size_t>(0, end - 1)(random_);
     }
@@ -192,15 +192,15 @@
         return now_ >= Start + options_.load.length / 2;
     }
 
-    auto scheduleAsk(bool isLong) -> void
+    auto scheduleRequests(bool isLong) -> void
     {
         const auto longRate = options_.load.longPromptsPerSecond * (isBurst() ? options_.load.burst : 1);
         const auto rate = isLong ? longRate : options_.load.shortPromptsPerSecond;
         const auto gap = std::exponential_distribution<double>(rate)(random_);
-        after(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap)), [this, isLong]() {
+        schedule(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap)), [this, isLong]() {
             if (now_ < Start + options_.load.length) {
-                ask(isLong);
-                scheduleAsk(isLong);
+                createRequest(isLong);
+                scheduleRequests(isLong);
             }
         });
     }
@@ -215,74 +215,76 @@
         }
         constexpr std::uint64_t FirstDocument = 10;
         constexpr std::uint64_t FirstSession = 100;
-        const auto session = drawBelow(options_.load.sessions);
+        const auto session = randomBelow(options_.load.sessions);
         return {
             .tokens = DocumentTokens + SessionTokens + OwnTokens,
-            .answerTokens = LongAnnouncedTokens,
+            .answerTokens = LongExpectedAnswerTokens,
             .parts = { { .id = FirstDocument + session % Documents, .tokens = DocumentTokens }, { .id = FirstSession + session, .tokens = SessionTokens }, own }
         };
     }
 
-    auto ask(bool isLong) -> void
+    auto createRequest(bool isLong) -> void
     {
-        asks_.push_back({ .isLong = isLong, .prompt = makePrompt(isLong), .firstTry = now_, .isCounted = isBurst() });
-        auto &served = servedOf(asks_.back());
-        served.asked += asks_.back().isCounted ? 1 : 0;
-        arrive(asks_.size() - 1);
+        requests_.push_back({ .isLong = isLong, .prompt = makePrompt(isLong), .firstSentAt = now_, .isCounted = isBurst() });
+        auto &outcomes = outcomesOf(requests_.back());
+        outcomes.requests += requests_.back().isCounted ? 1 : 0;
+        sendToRandomEntry(requests_.size() - 1);
     }
 
-    auto arrive(std::size_t number) -> void
+    auto sendToRandomEntry(std::size_t requestIndex) -> void
     {
-        const auto &ask = asks_.at(number);
-        auto entry = drawBelow(routers_.size());
-        while (isDead(entry)) {
-            entry = drawBelow(routers_.size());
+        const auto &callerRequest = requests_.at(requestIndex);
+        auto entry = randomBelow(routers_.size());
+        while (isStopped(entry)) {
+            entry = randomBelow(routers_.size());
         }
         const auto id = RequestId{ ++lastRequest_ };
-        RequestArrived arrived{ .request = id, .host = "quotes.example", .path = ask.isLong ? QuotePath : CheckPath, .key = "key-1" };
-        arrived.deadline = CallerDeadline - (now_ - ask.firstTry);
-        arrived.prompt = ask.prompt;
+        RequestArrived arrived{ .request = id, .host = "quotes.example", .path = callerRequest.isLong ? QuotePath : CheckPath, .key = "key-1" };
+        arrived.deadline = CallerDeadline - (now_ - callerRequest.firstSentAt);
+        arrived.prompt = callerRequest.prompt;
         arrived.fingerprint = Fingerprint{ lastRequest_ };
-        asked_[id] = number;
+        requestIndices_[id] = requestIndex;
         apply(entry, arrived);
     }
 
-    auto servedOf(const Ask &ask) -> Served &
+    auto outcomesOf(const CallerRequest &callerRequest) -> CallerOutcomes &
     {
-        return ask.isLong ? result_.longPrompts : result_.shortPrompts;
+        return callerRequest.isLong ? result_.longPrompts : result_.shortPrompts;
     }
 
     auto apply(std::size_t entry, const Event &event) -> void
     {
-        if (isDead(entry)) {
+        if (isStopped(entry)) {
             return;
         }
         for (const auto &action : step(*routers_.at(entry), event, now_)) {
             if (const auto *send = std::get_if<Send>(&action)) {
-                const auto engine = numbers_.at(send->server);
-                noteBelief(*send, engine, entry);
+                const auto engine = engineById_.at(send->server);
+                recordWorkEstimate(*send, engine, entry);
                 countAttempt(engine);
-                tellSoon(entry);
-                const Work work{ .entry = entry, .attempt = send->attempt, .ask = asked_.at(send->request) };
-                const auto fetched = send->fetchFrom.empty() ? Duration::zero() : fetch(asks_.at(work.ask).prompt, addresses_.at(send->fetchFrom), engine);
-                after(OneWay + fetched, [this, engine, work]() { enter(engine, work); });
+                scheduleEarlyReport(entry);
+                const EngineRequest engineRequest{ .entry = entry, .attempt = send->attempt, .requestIndex = requestIndices_.at(send->request) };
+                const auto fetched = send->fetchFrom.empty()
+                    ? Duration::zero()
+                    : copyCache(requests_.at(engineRequest.requestIndex).prompt, engineByAddress_.at(send->fetchFrom), engine);
+                schedule(NetworkLatency + fetched, [this, engine, engineRequest]() { enqueue(engine, engineRequest); });
             } else if (std::holds_alternative<Deliver>(action)) {
-                result_.attempts.requestsLost += 1; // only errors are answered whole here
+                result_.attempts.requestsLost += 1; // in this model, only errors are delivered as whole answers
             } else if (const auto *refuse = std::get_if<Refuse>(&action)) {
-                takeRefusal(asked_.at(refuse->request), *refuse);
+                handleRefusal(requestIndices_.at(refuse->request), *refuse);
             }
         }
     }
 
-    auto noteBelief(const Send &send, std::size_t engine, std::size_t entry) -> void
+    auto recordWorkEstimate(const Send &send, std::size_t engine, std::size_t entry) -> void
     {
-        if (asks_.at(asked_.at(send.request)).isLong) {
-            const auto place = static_cast<std::size_t>((now_ - Start) / BeliefInterval);
-            result_.beliefs.resize(std::max(result_.beliefs.size(), place + 1));
-            result_.beliefs[place].believed += send.requestsBefore;
+        if (requests_.at(requestIndices_.at(send.request)).isLong) {
+            const auto interval = static_cast<std::size_t>((now_ - Start) / EstimateInterval);
+            result_.workEstimates.resize(std::max(result_.workEstimates.size(), interval + 1));
+            result_.workEstimates[interval].estimated += send.requestsBefore;
             const auto &running = inFlight_[engine];
-            result_.beliefs[place].true_
-                += static_cast<std::uint64_t>(std::count_if(running.begin(), running.end(), [this](const auto &item) { return !isDead(item.second); }));
+            result_.workEstimates[interval].actual
+                += static_cast<std::uint64_t>(std::count_if(running.begin(), running.end(), [this](const auto &item) { return !isStopped(item.second); }));
         }
         inFlight_[engine][{ entry, send.attempt }] = entry;
     }
@@ -294,33 +296,34 @@
 
     auto countAttempt(std::size_t engine) -> void
     {
-        constexpr Duration Learning = std::chrono::seconds(1);
-        if (now_ >= Start + options_.load.length / 2 + Learning) {
+        constexpr Duration DetectionTime = std::chrono::seconds(1);
+        if (now_ >= Start + options_.load.length / 2 + DetectionTime) {
             result_.attempts.all += 1;
             result_.attempts.onFailing += isFailing(engine) ? 1 : 0;
         }
     }
 
-    auto fail(std::size_t number, const Work &work) -> void
+    auto fail(std::size_t engineIndex, const EngineRequest &engineRequest) -> void
     {
         constexpr Duration ErrorTime = std::chrono::milliseconds(4);
-        inFlight_[number].erase({ work.entry, work.attempt });
+        inFlight_[engineIndex].erase({ engineRequest.entry, engineRequest.attempt });
         result_.attempts.failed += 1;
-        after(ErrorTime, [this, work]() { apply(work.entry, AttemptAnswered{ .attempt = work.attempt, .status = 500 }); });
+        schedule(ErrorTime, [this, engineRequest]() { apply(engineRequest.entry, AttemptAnswered{ .attempt = engineRequest.attempt, .status = 500 }); });
     }
 
-    auto takeRefusal(std::size_t number, const Refuse &refusal) -> void
+    auto handleRefusal(std::size_t requestIndex, const Refuse &refusal) -> void
     {
-        auto &ask = asks_.at(number);
-        if (std::exchange(ask.cameBack, true)) {
-            servedOf(ask).refused += ask.isCounted ? 1 : 0;
+        auto &callerRequest = requests_.at(requestIndex);
+        if (std::exchange(callerRequest.hasRetried, true)) {
+            outcomesOf(callerRequest).refused += callerRequest.isCounted ? 1 : 0;
             return;
         }
-        after(refusal.retryAfter.value_or(Duration::zero()) + 2 * OneWay, [this, number]() { arrive(number); });
+        schedule(refusal.retryAfter.value_or(Duration::zero()) + 2 * NetworkLatency, [this, requestIndex]() { sendToRandomEntry(requestIndex); });
     }
 
-    /// Copies what the source keeps of the prompt and the engine lacks. \return the time that it takes
-    auto fetch(const Prompt &prompt, std::size_t source, std::size_t engine) -> Duration
+    /// Copies the cached parts of the prompt that the engine lacks.
+    /// \return the time that the copy takes
+    auto copyCache(const Prompt &prompt, std::size_t source, std::size_t engine) -> Duration
     {
         auto copied = prompt;
         std::uint32_t tokens = 0;
@@ -331,105 +334,106 @@
             }
             tokens += engines_.at(engine).cache.contains(prompt.parts[i].id) ? 0 : prompt.parts[i].tokens;
         }
-        remember(engines_.at(engine), copied);
+        storeInCache(engines_.at(engine), copied);
         result_.tokensFetched += tokens;
         return FetchSetup + toDuration(tokens / FetchTokensPerMs);
     }
 
-    auto enter(std::size_t number, Work work) -> void
+    auto enqueue(std::size_t engineIndex, EngineRequest engineRequest) -> void
     {
-        if (isFailing(number)) {
-            fail(number, work);
+        if (isFailing(engineIndex)) {
+            fail(engineIndex, engineRequest);
             return;
         }
-        auto &engine = engines_.at(number);
-        const auto &prompt = asks_.at(work.ask).prompt;
-        work.unread = prompt.tokens;
+        auto &engine = engines_.at(engineIndex);
+        const auto &prompt = requests_.at(engineRequest.requestIndex).prompt;
+        engineRequest.unreadTokens = prompt.tokens;
         for (const auto &part : prompt.parts) {
             const auto found = engine.cache.find(part.id);
             if (found == engine.cache.end()) {
                 break;
             }
             found->second.second = now_;
-            work.unread -= part.tokens;
+            engineRequest.unreadTokens -= part.tokens;
         }
-        work.answerLeft = asks_.at(work.ask).isLong ? LongAnswerTokens : ShortAnswerTokens;
+        engineRequest.remainingAnswerTokens = requests_.at(engineRequest.requestIndex).isLong ? LongAnswerTokens : ShortAnswerTokens;
         const auto own = prompt.parts.back().tokens;
-        result_.tokensRead += work.unread;
-        result_.sharedTokensReadAgain += work.unread - std::min(work.unread, own);
-        engine.prompts.push_back(work);
+        result_.tokensRead += engineRequest.unreadTokens;
+        result_.sharedTokensReadAgain += engineRequest.unreadTokens - std::min(engineRequest.unreadTokens, own);
+        engine.queue.push_back(engineRequest);
         if (!std::exchange(engine.isStepping, true)) {
-            beginStep(number);
+            beginStep(engineIndex);
         }
     }
 
-    auto beginStep(std::size_t number) -> void
+    auto beginStep(std::size_t engineIndex) -> void
     {
-        auto &engine = engines_.at(number);
+        auto &engine = engines_.at(engineIndex);
         auto room = ChunkTokens;
-        std::size_t readWhole = 0;
-        for (auto &prompt : engine.prompts) {
-            const auto part = std::min(room, prompt.unread);
-            prompt.unread -= part;
+        std::size_t promptsCompleted = 0;
+        for (auto &prompt : engine.queue) {
+            const auto part = std::min(room, prompt.unreadTokens);
+            prompt.unreadTokens -= part;
             room -= part;
-            readWhole += prompt.unread == 0 ? 1 : 0;
+            promptsCompleted += prompt.unreadTokens == 0 ? 1 : 0;
             if (room == 0) {
                 break;
             }
         }
         const auto reading = (ChunkTokens - room) / TokensPerMs;
-        after(toDuration(StepMs + StepMsPerRunning * static_cast<double>(engine.running.size()) + reading),
-              [this, number, readWhole]() { endStep(number, readWhole); });
+        schedule(toDuration(StepMs + StepMsPerRunning * static_cast<double>(engine.running.size()) + reading),
+                 [this, engineIndex, promptsCompleted]() { endStep(engineIndex, promptsCompleted); });
     }
 
-    auto endStep(std::size_t number, std::size_t readWhole) -> void
+    auto endStep(std::size_t engineIndex, std::size_t promptsCompleted) -> void
     {
-        auto &engine = engines_.at(number);
-        for (std::size_t i = 0; i < readWhole; ++i) {
-            remember(engine, asks_.at(engine.prompts.front().ask).prompt);
-            engine.running.push_back(engine.prompts.front());
-            engine.prompts.pop_front();
+        auto &engine = engines_.at(engineIndex);
+        for (std::size_t i = 0; i < promptsCompleted; ++i) {
+            storeInCache(engine, requests_.at(engine.queue.front().requestIndex).prompt);
+            engine.running.push_back(engine.queue.front());
+            engine.queue.pop_front();
         }
-        for (auto &work : engine.running) {
-            giveToken(work);
+        for (auto &engineRequest : engine.running) {
+            produceToken(engineRequest);
         }
-        for (const auto &work : engine.running) {
-            if (work.answerLeft == 0) {
-                inFlight_[number].erase({ work.entry, work.attempt });
+        for (const auto &engineRequest : engine.running) {
+            if (engineRequest.remainingAnswerTokens == 0) {
+                inFlight_[engineIndex].erase({ engineRequest.entry, engineRequest.attempt });
             }
         }
-        std::erase_if(engine.running, [](const Work &work) { return work.answerLeft == 0; });
-        engine.isStepping = !engine.running.empty() || !engine.prompts.empty();
+        std::erase_if(engine.running, [](const EngineRequest &engineRequest) { return engineRequest.remainingAnswerTokens == 0; });
+        engine.isStepping = !engine.running.empty() || !engine.queue.empty();
         if (engine.isStepping) {
-            beginStep(number);
+            beginStep(engineIndex);
         }
     }
 
-    auto giveToken(Work &work) -> void
+    auto produceToken(EngineRequest &engineRequest) -> void
     {
-        auto &ask = asks_.at(work.ask);
-        const auto isFirst = work.lastEvent == TimePoint();
-        work.answerLeft -= 1;
-        work.sinceEvent += 1;
+        auto &callerRequest = requests_.at(engineRequest.requestIndex);
+        const auto isFirst = engineRequest.lastEventAt == TimePoint();
+        engineRequest.remainingAnswerTokens -= 1;
+        engineRequest.tokensSinceEvent += 1;
         if (isFirst) {
-            ask.isLate = now_ + OneWay - ask.firstTry > (ask.isLong ? LongTarget : ShortTarget);
-            after(OneWay, [this, work]() { apply(work.entry, AttemptStarted{ .attempt = work.attempt, .goesToCaller = true }); });
-        } else if (work.sinceEvent == TokensPerEvent) {
-            ask.isLate = ask.isLate || now_ - work.lastEvent > (ask.isLong ? LongLongestPause : ShortLongestPause);
-            after(OneWay, [this, work]() { apply(work.entry, AttemptProgress{ .attempt = work.attempt }); });
+            callerRequest.isLate = now_ + NetworkLatency - callerRequest.firstSentAt > (callerRequest.isLong ? LongPromptTarget : ShortPromptTarget);
+            schedule(NetworkLatency,
+                     [this, engineRequest]() { apply(engineRequest.entry, AttemptStarted{ .attempt = engineRequest.attempt, .goesToCaller = true }); });
+        } else if (engineRequest.tokensSinceEvent == TokensPerEvent) {
+            callerRequest.isLate = callerRequest.isLate || now_ - engineRequest.lastEventAt > (callerRequest.isLong ? LongPromptMaxPause : ShortPromptMaxPause);
+            schedule(NetworkLatency, [this, engineRequest]() { apply(engineRequest.entry, AttemptProgress{ .attempt = engineRequest.attempt }); });
         }
-        if (isFirst || work.sinceEvent == TokensPerEvent) {
-            work.sinceEvent = 0;
-            work.lastEvent = now_;
+        if (isFirst || engineRequest.tokensSinceEvent == TokensPerEvent) {
+            engineRequest.tokensSinceEvent = 0;
+            engineRequest.lastEventAt = now_;
         }
-        if (work.answerLeft == 0) {
-            auto &served = servedOf(ask);
-            (ask.isLate ? served.late : served.onTime) += ask.isCounted ? 1 : 0;
-            after(OneWay, [this, work]() { apply(work.entry, AttemptFinished{ .attempt = work.attempt }); });
+        if (engineRequest.remainingAnswerTokens == 0) {
+            auto &outcomes = outcomesOf(callerRequest);
+            (callerRequest.isLate ? outcomes.late : outcomes.onTime) += callerRequest.isCounted ? 1 : 0;
+            schedule(NetworkLatency, [this, engineRequest]() { apply(engineRequest.entry, AttemptFinished{ .attempt = engineRequest.attempt }); });
         }
     }
 
-    auto remember(Engine &engine, const Prompt &prompt) const -> void
+    auto storeInCache(Engine &engine, const Prompt &prompt) const -> void
     {
         for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i) {
             const auto &part = prompt.parts[i];
@@ -450,102 +454,104 @@
         for (std::size_t entry = 0; entry < routers_.size(); ++entry) {
             apply(entry, Tick{});
         }
-        after(TickInterval, [this]() { tick(); });
+        schedule(TickInterval, [this]() { tick(); });
     }
 
-    /// Each entry tells the hubs of its failure domain, or all others, each at a moment of its own.
-    auto report() -> void
+    /// Schedules the periodic reports: each entry reports to the hubs of its failure domain, or in a small fleet to all others, each at its
+    /// own phase of the interval.
+    auto scheduleReports() -> void
     {
         for (std::size_t entry = 0; entry < routers_.size(); ++entry) {
-            constexpr std::size_t Step = 618; // so that neighbours, which may be hubs together, lie far apart
+            constexpr std::size_t Step = 618; // keeps the phases of neighbouring entries, which may both be hubs, far apart
             constexpr std::size_t Phases = 1000;
             const auto phase = options_.reportInterval * static_cast<std::int64_t>(entry * Step % Phases) / static_cast<std::int64_t>(Phases);
-            after(phase, [this, entry]() { tell(entry); });
+            schedule(phase, [this, entry]() { sendReportAndSums(entry); });
         }
-        turn_ += 1;
-        after(options_.reportInterval, [this]() { report(); });
+        reportRound_ += 1;
+        schedule(options_.reportInterval, [this]() { scheduleReports(); });
     }
 
-    auto tellSoon(std::size_t entry) -> void
+    auto scheduleEarlyReport(std::size_t entry) -> void
     {
-        constexpr Duration Gathering = std::chrono::milliseconds(2);
-        auto &due = tellsAt_[entry];
+        constexpr Duration BatchingDelay = std::chrono::milliseconds(2);
+        auto &due = earlyReportAt_[entry];
         if (due <= now_) {
-            due = std::max(now_ + Gathering, toldAt_[entry] + LeastReportInterval);
-            after(due - now_, [this, entry]() { tellReport(entry); });
+            due = std::max(now_ + BatchingDelay, reportedAt_[entry] + LeastReportInterval);
+            schedule(due - now_, [this, entry]() { sendReport(entry); });
         }
     }
 
-    auto tell(std::size_t entry) -> void
+    auto sendReportAndSums(std::size_t entry) -> void
     {
-        tellReport(entry);
+        sendReport(entry);
         const auto &hubs = chosenHubs_[entry];
         const auto own = std::find(hubs.begin(), hubs.end(), entries_.at(entry));
-        if (own != hubs.end() && !isDead(entry)) {
-            tellSums(entry, knownTo(entry), own == hubs.begin());
+        if (own != hubs.end() && !isStopped(entry)) {
+            sendSums(entry, entriesKnownTo(entry), own == hubs.begin());
         }
     }
 
-    auto tellReport(std::size_t entry) -> void
+    auto sendReport(std::size_t entry) -> void
     {
-        if (isDead(entry)) {
+        if (isStopped(entry)) {
             return;
         }
-        const auto known = knownTo(entry);
+        const auto known = entriesKnownTo(entry);
         const auto &self = entries_.at(entry);
-        const auto told = takeReport(*routers_.at(entry));
-        toldAt_[entry] = now_;
-        if (entries_.size() <= MostDirectEntries) {
-            sendTo(known, self, told);
+        const auto ownReport = takeReport(*routers_.at(entry));
+        reportedAt_[entry] = now_;
+        if (entries_.size() <= MaxDirectEntries) {
+            sendDatagrams(known, self, ownReport);
             return;
         }
         auto &hubs = chosenHubs_[entry];
         hubs = fleet::chooseHubs(hubs_[entry], known, self, now_);
-        sendTo(hubs, self, told);
+        sendDatagrams(hubs, self, ownReport);
     }
 
-    auto tellSums(std::size_t entry, const std::vector<fleet::EntryRecord> &known, bool isFirst) -> void
+    auto sendSums(std::size_t entry, const std::vector<fleet::EntryRecord> &known, bool isFirst) -> void
     {
         const auto &self = entries_.at(entry);
         if (isFirst) {
-            sendTo(fleet::hubsOfOtherDomains(known, self, static_cast<std::size_t>(turn_)), self, takeSum(*routers_.at(entry), ReportScope::FailureDomain));
+            sendDatagrams(
+                fleet::hubsOfOtherDomains(known, self, static_cast<std::size_t>(reportRound_)), self, takeSum(*routers_.at(entry), ReportScope::FailureDomain));
         }
         std::vector<fleet::EntryRecord> members;
         std::int64_t number = 0;
         for (const auto &each : known) {
-            if (each.failureDomain == self.failureDomain && (number++ + (isFirst ? 0 : 1)) % ReportsPerSum == turn_ % ReportsPerSum) {
+            if (each.failureDomain == self.failureDomain && (number++ + (isFirst ? 0 : 1)) % ReportsPerSum == reportRound_ % ReportsPerSum) {
                 members.push_back(each);
             }
         }
-        sendTo(members, self, takeSum(*routers_.at(entry), ReportScope::Fleet));
+        sendDatagrams(members, self, takeSum(*routers_.at(entry), ReportScope::Fleet));
     }
 
-    auto sendTo(const std::vector<fleet::EntryRecord> &receivers, const fleet::EntryRecord &self, PeerReported report) -> void
+    auto sendDatagrams(const std::vector<fleet::EntryRecord> &receivers, const fleet::EntryRecord &self, PeerReported report) -> void
     {
-        const auto told = std::make_shared<const PeerReported>(std::move(report));
+        const auto datagram = std::make_shared<const PeerReported>(std::move(report));
         for (const auto &receiver : receivers) {
-            const auto isLost = std::uniform_real_distribution<double>(0, 1)(datagrams_) < options_.reports.lostDatagrams;
+            const auto isLost = std::uniform_real_distribution<double>(0, 1)(lossRandom_) < options_.reports.lostDatagrams;
             if (receiver.name != self.name && !isLost) {
-                after(OneWay, [this, entry = std::stoul(receiver.peerAddress), told]() { hear(entry, *told); });
+                schedule(NetworkLatency, [this, entry = std::stoul(receiver.peerAddress), datagram]() { receiveReport(entry, *datagram); });
             }
         }
     }
 
-    auto hear(std::size_t entry, const PeerReported &told) -> void
+    auto receiveReport(std::size_t entry, const PeerReported &received) -> void
     {
         const auto &self = entries_.at(entry);
         const auto &hubs = chosenHubs_[entry];
-        if (told.scope == ReportScope::Fleet) {
-            fleet::noteSum(hubs_[entry], told.entry, now_);
+        if (received.scope == ReportScope::Fleet) {
+            fleet::noteSum(hubs_[entry], received.entry, now_);
         }
         const auto isHub = std::find(hubs.begin(), hubs.end(), self) != hubs.end();
-        const auto isForHubs = told.scope == ReportScope::FailureDomain || (told.scope == ReportScope::Entry && !isHub);
-        if (isForHubs && !told.isRelayed && !hubs.empty()) {
-            auto relayed = told;
+        const auto isForHubs = received.scope == ReportScope::FailureDomain || (received.scope == ReportScope::Entry && !isHub);
+        if (isForHubs && !received.isRelayed && !hubs.empty()) {
+            auto relayed = received;
             relayed.isRelayed = true;
-            sendTo(hubs, self, relayed);
+            sendDatagrams(hubs, self, relayed);
         }
-        apply(entry, told);
+        apply(entry, received);
     }
 
     ReplayOptions options_;
@@ -553,22 +559,22 @@
     TimePoint now_ = Start;
     std::vector<Engine> engines_;
     std::vector<RouterStatePointer> routers_;
-    std::map<std::string, std::size_t> numbers_;
-    std::map<std::string, std::size_t> addresses_;
-    std::priority_queue<Planned> queue_;
-    std::uint64_t lastOrder_ = 0;
+    std::map<std::string, std::size_t> engineById_;
+    std::map<std::string, std::size_t> engineByAddress_;
+    std::priority_queue<ScheduledAction> actions_;
+    std::uint64_t lastSequence_ = 0;
     std::uint64_t lastRequest_ = 0;
     std::uint64_t lastOwnPart_ = 1'000'000;
-    std::vector<Ask> asks_;
-    std::map<RequestId, std::size_t> asked_;
+    std::vector<CallerRequest> requests_;
+    std::map<RequestId, std::size_t> requestIndices_;
     std::vector<fleet::EntryRecord> entries_;
-    std::map<std::size_t, fleet::Hubs> hubs_; ///< as each entry sees them
+    std::map<std::size_t, fleet::Hubs> hubs_; ///< hub selection state of each entry
     std::map<std::size_t, std::vector<fleet::EntryRecord>> chosenHubs_;
-    std::map<std::size_t, TimePoint> toldAt_;
-    std::map<std::size_t, TimePoint> tellsAt_; ///< the next report that is due because of a request
-    std::mt19937_64 datagrams_{ 7 };
-    std::int64_t turn_ = 0;
-    std::map<std::size_t, std::map<std::pair<std::size_t, AttemptId>, std::size_t>> inFlight_; ///< entry of each attempt, by engine
+    std::map<std::size_t, TimePoint> reportedAt_;
+    std::map<std::size_t, TimePoint> earlyReportAt_; ///< time of the next early report, which a dispatched request has triggered
+    std::mt19937_64 lossRandom_{ 7 };
+    std::int64_t reportRound_ = 0;
+    std::map<std::size_t, std::map<std::pair<std::size_t, AttemptId>, std::size_t>> inFlight_; ///< for each engine, the entry of each attempt in flight
     ReplayResult result_;
 };
 
--- a/src/core/passthrough/tests/replay.h
+++ b/src/core/passthrough/tests/replay.h
@@ -1,8 +1,8 @@
 /// \file
-/// Replays a load against many routers and a model of their engines in virtual time: the same seed gives the same figures.
+/// Simulates a load on many routers and a model of their engines in virtual time; the same seed gives the same figures.
 ///
-/// The model of an engine: it works in steps. Each gives every running answer a token and reads one chunk of the oldest
-/// prompt. Parts of prompts that it has read before are skipped while all parts before them are there too.
+/// The model of an engine works in steps. Each step produces one token of every running answer and reads one chunk of the oldest
+/// prompt. Parts of a prompt that the engine has cached are skipped as long as all parts before them are cached too.
 
 #pragma once
 
@@ -16,59 +16,59 @@
 namespace auburnspread::passthrough::tests
 {
 
-/// Long prompts, each of a document that many sessions share, a session's part and one of its own, and short prompts.
+/// Short prompts and long prompts; a long prompt consists of a document that many sessions share, a part of its session and a part of its own.
 struct LoadPattern {
     std::size_t entries = 66;
     std::size_t engines = 60;
     double longPromptsPerSecond = 220;
     double shortPromptsPerSecond = 187;
-    double burst = 3; ///< times as many long prompts in the second half
+    double burst = 3; ///< factor on the rate of long prompts in the second half
     std::size_t sessions = 600;
     Duration length = std::chrono::seconds(12);
     std::uint64_t seed = 1;
 };
 
-/// What callers of one kind got whose first try lay in the burst. Engines begin with empty caches and fill them before it.
-struct Served {
-    std::size_t asked = 0;
-    std::size_t onTime = 0;  ///< first event within the target, from the first try on, and no pause over the longest
-    std::size_t late = 0;    ///< whole, but not on time
-    std::size_t refused = 0; ///< twice: they came back once as told
+/// Outcomes of the requests of one kind that were first sent during the burst. Before the burst, the engines fill their empty caches.
+struct CallerOutcomes {
+    std::size_t requests = 0;
+    std::size_t onTime = 0;  ///< first event within the target, counted from the first try, and no pause beyond the longest allowed
+    std::size_t late = 0;    ///< complete, but not on time
+    std::size_t refused = 0; ///< refused twice: each caller retries once, after the stated delay
 
-    [[nodiscard]] auto onTimePart() const -> double
+    [[nodiscard]] auto onTimeShare() const -> double
     {
-        return static_cast<double>(onTime) / static_cast<double>(asked);
+        return static_cast<double>(onTime) / static_cast<double>(requests);
     }
-    [[nodiscard]] auto refusedPart() const -> double
+    [[nodiscard]] auto refusedShare() const -> double
     {
-        return static_cast<double>(refused) / static_cast<double>(asked);
+        return static_cast<double>(refused) / static_cast<double>(requests);
     }
 };
 
-/// What entries believed of the engines that they chose, against what ran there.
-struct Belief {
-    std::uint64_t believed = 0; ///< requests on the chosen engine, summed over all that were sent
-    std::uint64_t true_ = 0;
+/// Compares the entries' estimates of the work on the engines that they choose with the actual work there.
+struct WorkEstimate {
+    std::uint64_t estimated = 0; ///< estimated requests on the chosen engine, summed over all dispatches
+    std::uint64_t actual = 0;    ///< requests that were in flight there, summed likewise
 
-    [[nodiscard]] auto part() const -> double
+    [[nodiscard]] auto ratio() const -> double
     {
-        return true_ == 0 ? 1 : static_cast<double>(believed) / static_cast<double>(true_);
+        return actual == 0 ? 1 : static_cast<double>(estimated) / static_cast<double>(actual);
     }
 };
 
 /// Engines that answer each request with an error at once, in the second half of the load.
-struct EngineTroubles {
-    std::size_t failing = 0; ///< the first ones
+struct EngineFaults {
+    std::size_t failing = 0; ///< number of failing engines, the first ones in the list
 };
 
-/// Attempts on engines in the second half.
+/// Attempts on engines in the second half of the load.
 struct Attempts {
-    std::uint64_t all = 0;          ///< after its first second
-    std::uint64_t onFailing = 0;    ///< after its first second
+    std::uint64_t all = 0;          ///< after the first second of that half
+    std::uint64_t onFailing = 0;    ///< on failing engines, after the first second of that half
     std::uint64_t failed = 0;       ///< answered with an error
-    std::uint64_t requestsLost = 0; ///< whose caller got the error
+    std::uint64_t requestsLost = 0; ///< requests whose caller received the error
 
-    /// Attempts on a failing engine for each one on an engine of the mean.
+    /// Ratio of the attempts on a failing engine to the mean over all engines.
     [[nodiscard]] auto failingShare(std::size_t engines, std::size_t failing) const -> double
     {
         return static_cast<double>(onFailing) / static_cast<double>(failing) / (static_cast<double>(all) / static_cast<double>(engines));
@@ -77,28 +77,28 @@
 
 struct ReplayResult {
     Attempts attempts;
-    std::vector<Belief> beliefs; ///< of long prompts, for each half second from the start
-    Served longPrompts;
-    Served shortPrompts;
+    std::vector<WorkEstimate> workEstimates; ///< of dispatched long prompts, for each half second from the start
+    CallerOutcomes longPrompts;
+    CallerOutcomes shortPrompts;
     std::uint64_t tokensRead = 0;
-    std::uint64_t sharedTokensReadAgain = 0; ///< of parts that another engine held
-    std::uint64_t tokensFetched = 0;         ///< of parts that were copied from another engine
+    std::uint64_t sharedTokensReadAgain = 0; ///< tokens of shared prompt parts that an engine had to read
+    std::uint64_t tokensFetched = 0;         ///< tokens that were copied from another engine
 };
 
-/// What befalls the exchange of reports.
-struct ReportTroubles {
+/// Faults in the exchange of reports between entries.
+struct ReportFaults {
     std::size_t failureDomains = 1;
-    std::size_t lostHubs = 0;     ///< entries that die in the middle, the first in rank
-    bool listsDiffer = false;     ///< in the second half a third of the entries know only the other two thirds, and these know all
-    double lostDatagrams = 0.001; ///< part of all
+    std::size_t lostHubs = 0;     ///< entries that stop at half time, the highest-ranked hubs first
+    bool listsDiffer = false;     ///< in the second half, a third of the entries know only the other two thirds, which know all
+    double lostDatagrams = 0.001; ///< fraction of datagrams that are lost
 };
 
 struct ReplayOptions {
     LoadPattern load;
-    ReportTroubles reports;
-    EngineTroubles engines;
+    ReportFaults reports;
+    EngineFaults engines;
     Duration reportInterval = ReportInterval;
-    Duration rest = std::chrono::seconds(6); ///< after the load, until the last answers have ended
+    Duration rest = std::chrono::seconds(6); ///< time after the load in which the last answers end
 };
 
 auto replay(const ReplayOptions &options) -> ReplayResult;
--- a/src/core/passthrough/tests/replay_tests.cpp
+++ b/src/core/passthrough/tests/replay_tests.cpp
@@ -11,44 +11,44 @@
 
 constexpr std::uint64_t Seeds = 3;
 
-struct Parts {
+struct Shares {
     double onTime = 0;
     double refused = 0;
     double shortOnTime = 0;
 };
 
-/// Means over some seeds.
-auto replayAll(ReplayOptions options) -> Parts
+/// Means over all seeds.
+auto replayAll(ReplayOptions options) -> Shares
 {
-    Parts parts;
+    Shares shares;
     for (options.load.seed = 1; options.load.seed <= Seeds; ++options.load.seed) {
         const auto result = replay(options);
-        parts.onTime += result.longPrompts.onTimePart() / Seeds;
-        parts.refused += result.longPrompts.refusedPart() / Seeds;
-        parts.shortOnTime += result.shortPrompts.onTimePart() / Seeds;
+        shares.onTime += result.longPrompts.onTimeShare() / Seeds;
+        shares.refused += result.longPrompts.refusedShare() / Seeds;
+        shares.shortOnTime += result.shortPrompts.onTimeShare() / Seeds;
     }
-    return parts;
+    return shares;
 }
 
 } // namespace
 
-TEST(ReplayTests, aCalmFleetServesAllOnTime)
+TEST(ReplayTests, anUnderloadedFleetServesAllOnTime)
 {
-    const auto parts = replayAll({ .load = { .burst = 1 } });
-    EXPECT_GT(parts.onTime, 0.985);
-    EXPECT_GT(parts.shortOnTime, 0.975);
-    EXPECT_LT(parts.refused, 0.002);
+    const auto shares = replayAll({ .load = { .burst = 1 } });
+    EXPECT_GT(shares.onTime, 0.985);
+    EXPECT_GT(shares.shortOnTime, 0.975);
+    EXPECT_LT(shares.refused, 0.002);
 }
 
-/// What callers see: a third of the quotes of a burst refused although engines stand idle at times. Three times as many come
-/// as on a calm day. Word of the engines is old when it comes, and more engines than needed are kept for short answers. Reports
-/// every 100 ms, shortPrompts that fill 0.65 of a batch, or a wait of 0.7 of the target: each alone fails the first line.
-TEST(ReplayTests, aBurstIsServedByEnginesThatReadAllTheTime)
+/// Guards against refusals while engines stand idle. In a burst of three times the usual load, a third of the quotes was refused, because
+/// reports were old when they were used and more engines than needed were reserved for short prompts. Each of these changes alone fails the
+/// first check: reports every 100 ms, short prompts that may fill 0.65 of a batch, a queueing time of 0.7 of the target.
+TEST(ReplayTests, aBurstKeepsAllEnginesBusy)
 {
-    const auto parts = replayAll({ .load = { .burst = 3 } });
-    EXPECT_GT(parts.onTime, 0.685);
-    EXPECT_LT(parts.refused, 0.205);
-    EXPECT_GT(parts.shortOnTime, 0.97) << "short answers pay nothing for it";
+    const auto shares = replayAll({ .load = { .burst = 3 } });
+    EXPECT_GT(shares.onTime, 0.685);
+    EXPECT_LT(shares.refused, 0.205);
+    EXPECT_GT(shares.shortOnTime, 0.97) << "short answers must stay on time";
 }
 
 TEST(ReplayTests, fresherReportsServeMoreOfABurst)
