--- a/src/core/limits/sharedbucket.cpp
+++ b/src/core/limits/sharedbucket.cpp
@@ -25,7 +25,7 @@
     return options.burst > 0 ? options.burst : options.perSecond;
 }
 
-/// At least one unit, so that a share below one request can still pass one now and then.
+/// Capacity of this entry's share: at least one unit, so that a share below one request still admits one from time to time.
 auto capacityOf(const SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, TimePoint now) -> double
 {
     return std::max(1.0, burstOf(options) * shareOf(bucket, entries, now));
@@ -52,38 +52,38 @@
     bucket.cellAt = now;
 }
 
-/// Whether the cell as a whole has so much left. An amount over what may ever be taken needs a full bucket.
-auto isLeftInCell(const SharedBucket &bucket, const BucketOptions &options, const Amount &amount) -> bool
+/// Whether the cell as a whole has \p amount left. An amount larger than what may ever be taken needs a full bucket.
+auto hasCellAmount(const SharedBucket &bucket, const BucketOptions &options, const Amount &amount) -> bool
 {
-    const auto reserved = burstOf(options) * amount.reserve;
-    return bucket.cellLevel - reserved >= std::min(amount.units, burstOf(options) - reserved);
+    const auto reservedAmount = burstOf(options) * amount.reserve;
+    return bucket.cellLevel - reservedAmount >= std::min(amount.units, burstOf(options) - reservedAmount);
 }
 
-/// Whether an entry may take so much between two reports though the peers do not know of it yet.
+/// Whether an entry may take \p units between two reports although its peers do not know of them yet.
 auto mayTakeAhead(const SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, double units) -> bool
 {
     const auto burst = burstOf(options);
-    const auto room = bucket.cellLevel + bucket.ahead.recent;
-    const auto unheard = bucket.aheadHighest.recent;
-    if (isFarFromLimit(room, burst) && unheard <= 0) {
+    const auto available = bucket.cellLevel + bucket.ahead.recent;
+    const auto unreported = bucket.aheadHighest.recent;
+    if (isFarFromLimit(available, burst) && unreported <= 0) {
         return true;
     }
-    return unheard + units <= std::max(room / std::max<std::uint32_t>(entries, 1), partAhead(room, burst));
+    return unreported + units <= std::max(available / std::max<std::uint32_t>(entries, 1), allowanceAhead(available, burst));
 }
 
-/// The same for a lower tier: of what is above the reserve the entry's part, counted over two reports, since one may be
-/// under way, and far from the limit a clump of requests. A quarter of the burst at each entry would reach below the
-/// reserve, and so would what the shares saved up while the cell was below it.
+/// The same for a lower tier: an entry may take its part of what is above the reserve, counted over two reports because one may be in
+/// transit, and far from the limit a clump of requests. A quarter of the burst at each entry would use up the reserve, and so would the
+/// level that the shares have accumulated while the cell was below it.
 auto mayTakeAboveReserve(const SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, const Amount &amount, TimePoint now) -> bool
 {
     const auto burst = burstOf(options);
-    const auto unheard = totalOf(bucket.ahead);
-    const auto room = bucket.cellLevel + unheard - burst * amount.reserve;
-    const auto even = room / std::max<std::uint32_t>(entries, 1);
-    const auto share = room * shareOf(bucket, entries, now);
-    const auto isFar = isFarFromLimit(room, burst * (1 - amount.reserve));
-    const auto clump = isFar ? std::min(burst * MostClumped, amount.units * ClumpedRequests) : 0.0;
-    return (isFar && unheard <= 0) || unheard + amount.units <= std::max({ even, share, clump });
+    const auto unreported = totalOf(bucket.ahead);
+    const auto available = bucket.cellLevel + unreported - burst * amount.reserve;
+    const auto evenPart = available / std::max<std::uint32_t>(entries, 1);
+    const auto share = available * shareOf(bucket, entries, now);
+    const auto isFar = isFarFromLimit(available, burst * (1 - amount.reserve));
+    const auto clumpAllowance = isFar ? std::min(burst * MaxClumpShare, amount.units * MaxClumpRequests) : 0.0;
+    return (isFar && unreported <= 0) || unreported + amount.units <= std::max({ evenPart, share, clumpAllowance });
 }
 
 auto mayTakeFromShare(const SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, double amount, TimePoint now) -> bool
@@ -93,30 +93,30 @@
 
 } // namespace
 
-auto isFarFromLimit(double room, double limit) -> bool
+auto isFarFromLimit(double available, double limit) -> bool
 {
-    constexpr double Far = 0.5;
-    return room >= limit * Far;
+    constexpr double FarShare = 0.5;
+    return available >= limit * FarShare;
 }
 
-auto partAhead(double room, double limit) -> double
+auto allowanceAhead(double available, double limit) -> double
 {
-    constexpr double Some = 0.2; // below what is kept for the highest tier, so that its clumps pass also while lower ones use the rest
+    constexpr double SmallRemainder = 0.2; // less than the reserve of the highest tier, so that its clumps are admitted while lower tiers use the rest
     constexpr double EighthOfLimit = 0.125;
-    if (isFarFromLimit(room, limit)) {
+    if (isFarFromLimit(available, limit)) {
         return limit * QuarterOfLimit;
     }
-    return room >= limit * Some ? limit * EighthOfLimit : 0;
+    return available >= limit * SmallRemainder ? limit * EighthOfLimit : 0;
 }
 
-auto totalOf(const Unheard &unheard) -> double
+auto totalOf(const UnreportedAmount &amount) -> double
 {
-    return unheard.recent + unheard.before;
+    return amount.recent + amount.before;
 }
 
-auto shift(Unheard &unheard) -> void
+auto startNextInterval(UnreportedAmount &amount) -> void
 {
-    unheard = { .before = unheard.recent };
+    amount = { .before = amount.recent };
 }
 
 auto add(DecayingRate &rate, double amount, TimePoint now) -> void
@@ -132,7 +132,8 @@
 
 auto shareOf(const SharedBucket &bucket, std::uint32_t entries, TimePoint now) -> double
 {
-    // Without reported demand the share is an even one: were it the whole, a burst that reaches all entries at once would pass once at each.
+    // Without reported demand, all entries have even shares. If each had the whole, a burst that reaches all entries at once would be admitted
+    // in full by each of them.
     constexpr double EvenDemand = 0.05;
     const auto count = static_cast<double>(std::max<std::uint32_t>(entries, 1));
     const auto own = perSecond(bucket.own, now);
@@ -155,11 +156,11 @@
 
 auto mayTake(const SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, const Amount &amount, TimePoint now) -> bool
 {
-    const auto isLeft = isLeftInCell(bucket, options, amount);
+    const auto isAvailableInCell = hasCellAmount(bucket, options, amount);
     if (amount.reserve > 0) {
-        return isLeft && mayTakeAboveReserve(bucket, options, entries, amount, now);
+        return isAvailableInCell && mayTakeAboveReserve(bucket, options, entries, amount, now);
     }
-    return (isLeft && mayTakeAhead(bucket, options, entries, amount.units)) || mayTakeFromShare(bucket, options, entries, amount.units, now);
+    return (isAvailableInCell && mayTakeAhead(bucket, options, entries, amount.units)) || mayTakeFromShare(bucket, options, entries, amount.units, now);
 }
 
 auto take(SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, const Amount &amount, TimePoint now) -> void
@@ -167,10 +168,10 @@
     if (options.perSecond <= 0) {
         return;
     }
-    // What the share cannot pay is a bounded debt of it: the cell's level has paid.
-    const auto lowest = std::min(bucket.level, -burstOf(options) * QuarterOfLimit);
-    const auto paid = bucket.level - amount.units;
-    bucket.level = mayTakeFromShare(bucket, options, entries, amount.units, now) ? paid : std::max(lowest, paid);
+    // The share may go into a bounded debt for an amount that only the cell level covers.
+    const auto lowestLevel = std::min(bucket.level, -burstOf(options) * QuarterOfLimit);
+    const auto remaining = bucket.level - amount.units;
+    bucket.level = mayTakeFromShare(bucket, options, entries, amount.units, now) ? remaining : std::max(lowestLevel, remaining);
     bucket.cellLevel -= amount.units;
     bucket.ahead.recent += amount.units;
     if (amount.reserve <= 0) {
@@ -178,33 +179,33 @@
     }
 }
 
-auto noteReported(SharedBucket &bucket, double demand, TimePoint now) -> void
+auto recordReport(SharedBucket &bucket, double demand, TimePoint now) -> void
 {
     add(bucket.own, demand, now);
-    shift(bucket.ahead);
-    shift(bucket.aheadHighest);
+    startNextInterval(bucket.ahead);
+    startNextInterval(bucket.aheadHighest);
 }
 
-auto notePeers(SharedBucket &bucket, const BucketOptions &options, double demand, TimePoint now) -> void
+auto recordPeerDemand(SharedBucket &bucket, const BucketOptions &options, double demand, TimePoint now) -> void
 {
     add(bucket.peers, demand, now);
     if (options.perSecond <= 0) {
         return;
     }
     refillCell(bucket, options, now);
-    // Demand that was refused was not taken: it closes the way ahead of the reports, but for no longer than a second. With
-    // no debt at all, what comes in between two reports would be taken anew by each entry.
-    const auto lowest = std::min(bucket.cellLevel, -options.perSecond);
-    bucket.cellLevel = std::max(lowest, bucket.cellLevel - demand);
+    // Reported demand includes refused requests, which took nothing. It blocks taking ahead of the reports, but for no longer than a second.
+    // Without any debt, the refill between two reports would be taken by each entry anew.
+    const auto lowestLevel = std::min(bucket.cellLevel, -options.perSecond);
+    bucket.cellLevel = std::max(lowestLevel, bucket.cellLevel - demand);
 }
 
-auto timeUntil(const SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, const Amount &amount, TimePoint now) -> Duration
+auto timeUntilAvailable(const SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, const Amount &amount, TimePoint now) -> Duration
 {
     constexpr double LongestWait = 60.0;
     const auto missing = std::min(amount.units, capacityOf(bucket, options, entries, now)) - bucket.level;
     const auto rate = std::max(refillRate(bucket, options, now), options.perSecond / std::max<std::uint32_t>(entries, 1) / 2.0);
-    const auto reserved = burstOf(options) * amount.reserve;
-    const auto missingInCell = reserved + std::min(amount.units, burstOf(options) - reserved) - bucket.cellLevel;
+    const auto reservedAmount = burstOf(options) * amount.reserve;
+    const auto missingInCell = reservedAmount + std::min(amount.units, burstOf(options) - reservedAmount) - bucket.cellLevel;
     const auto wait = amount.reserve > 0 ? missingInCell / options.perSecond : missing / rate;
     return std::chrono::duration_cast<Duration>(Seconds(std::clamp(wait, 0.0, LongestWait)));
 }
--- a/src/core/limits/sharedbucket.h
+++ b/src/core/limits/sharedbucket.h
@@ -1,22 +1,22 @@
 /// \file
-/// A token bucket whose rate holds over all entries of a cell together, kept by each entry alone.
+/// A token bucket whose rate holds over all entries of a cell together, while each entry decides alone.
 ///
-/// An entry keeps two levels. The cell's level is what all entries together have left: it falls by what is taken here at
-/// once, and by the peers' demand when they report it. While it is high, an entry takes ahead of the reports: up to a
-/// quarter of the burst, or one request of any size. While it is low, it takes its even part of what is left. Only
-/// beyond that does the entry keep to its share. Lower tiers leave a reserve and take less ahead: see mayTake().
+/// An entry keeps two levels. The cell level estimates what all entries together have left: it falls at once by what this entry
+/// takes, and by the demand of its peers when they report it. While the cell level is high, an entry may take ahead of the reports: up
+/// to a quarter of the burst, or one request of any size. While it is low, an entry may take its even part of what is left. Beyond
+/// that, the entry is bound by the level of its own share. Lower tiers leave a reserve and may take less ahead; see mayTake().
 ///
-/// Failure: callers keep to one address for seconds, so a workspace's calls come in clumps to one entry after the other,
-/// whose own demand counts from its next report only. Symptom: its share is next to nothing and it refuses a workspace
-/// that is far below its limits. The cell's level is enough against it, since it does not depend on where the demand is;
-/// the entries together take at most the burst, or a quarter of it each if that is more, before they hear of one another,
-/// and once the level is low no more than is left.
+/// The share alone is not enough: callers keep to one address for seconds, so the calls of a workspace arrive in clumps at one entry
+/// after another, and an entry's own demand counts only from its next report on. Its share would be close to zero, and it would refuse a
+/// workspace that is far below its limits. The cell level prevents this, since it does not depend on which entry has the demand.
+/// Before they receive each other's reports, the entries together take at most the burst, or a quarter of it each if that is more; once
+/// the level is low, they take no more than is left.
 ///
-/// For the shares, entries report their demand to each other a few times a second and work them out from what was reported,
-/// their own demand included: from the same data, so that the shares of a cell sum to one. While the rate suffices for
-/// all, an entry refills with what its peers leave; once it does not, with the part of the rate that its own demand has
-/// in the whole. The two meet where demand equals the rate, and demand counts refused requests too, so that a share
-/// does not depend on what was allowed before: there is nothing to oscillate.
+/// For the shares, entries report their demand to each other a few times a second, and each computes the shares from the reported
+/// values, including its own. Since all use the same data, the shares of a cell sum to one. While the rate suffices for all, an entry
+/// refills at the rate that its peers leave unused; otherwise, at the part of the rate that corresponds to its part of the total demand.
+/// The two agree where demand equals the rate. Demand includes refused requests, so a share does not depend on what was admitted
+/// before, and the shares do not oscillate.
 
 #pragma once
 
@@ -27,12 +27,12 @@
 namespace auburnspread::limits
 {
 
-/// Requests of a lower tier that an entry may take over two reports far from the limit, where its part of a small limit
+/// Number of requests of a lower tier that an entry may take over two reports far from the limit, where its even part of a small limit
 /// would be less than callers send in one clump; at most half of the limit.
-constexpr double ClumpedRequests = 12;
-constexpr double MostClumped = 0.5;
+constexpr double MaxClumpRequests = 12;
+constexpr double MaxClumpShare = 0.5;
 
-/// Units a second, by exponential decay over about a second.
+/// Rate in units per second: a sum that decays exponentially with a time constant of one second.
 struct DecayingRate {
     double sum = 0;
     TimePoint at;
@@ -41,70 +41,70 @@
 auto add(DecayingRate &rate, double amount, TimePoint now) -> void;
 auto perSecond(const DecayingRate &rate, TimePoint now) -> double;
 
-/// What was taken here and peers may not have heard of: reports are late, so the last one may still be under way.
-struct Unheard {
-    double recent = 0; ///< since the last report
-    double before = 0; ///< between the last report and the one before
+/// Amounts taken here that the peers may not know of yet: reports take time, so the last one may still be in transit.
+struct UnreportedAmount {
+    double recent = 0; ///< taken since the last report
+    double before = 0; ///< taken between the last report and the one before
 };
 
-auto totalOf(const Unheard &unheard) -> double;
+auto totalOf(const UnreportedAmount &amount) -> double;
 
-/// A report goes out.
-auto shift(Unheard &unheard) -> void;
+/// Starts the next reporting interval.
+auto startNextInterval(UnreportedAmount &amount) -> void;
 
-/// What the document allows all entries together.
+/// Limits that the configuration sets for all entries together.
 struct BucketOptions {
-    double perSecond = 0; ///< 0: no limit
-    double burst = 0;     ///< 0: one second's worth
+    double perSecond = 0; ///< units per second; 0: no limit
+    double burst = 0;     ///< largest amount that can be taken at once; 0: the amount of one second
 };
 
 struct SharedBucket {
-    double level = 0;     ///< of this entry's share
-    double cellLevel = 0; ///< of all entries together, as far as known here
-    Unheard ahead;        ///< by all tiers
-    Unheard aheadHighest; ///< by the highest tier
-    TimePoint at;
-    TimePoint cellAt;
-    bool filled = false;     ///< whether the level was set for the first time
-    bool cellFilled = false; ///< the same for the cell's
-    DecayingRate own;        ///< demand here as reported to the peers, refused demand included
-    DecayingRate peers;      ///< demand at the other entries as they reported it
+    double level = 0;              ///< level of this entry's share
+    double cellLevel = 0;          ///< estimated level of all entries together
+    UnreportedAmount ahead;        ///< taken by all tiers
+    UnreportedAmount aheadHighest; ///< taken by the highest tier
+    TimePoint at;                  ///< time of \c level
+    TimePoint cellAt;              ///< time of \c cellLevel
+    bool filled = false;           ///< whether \c level has been initialised
+    bool cellFilled = false;       ///< whether \c cellLevel has been initialised
+    DecayingRate own;              ///< demand at this entry as reported to the peers, including refused demand
+    DecayingRate peers;            ///< demand at the other entries, as reported by them
 };
 
-/// Whether \p room, what is left of \p limit, is so much that entries may take ahead of what they know of each other.
-auto isFarFromLimit(double room, double limit) -> bool;
+/// Whether \p available, the unused part of \p limit, is so large that entries may take ahead of each other's reports.
+auto isFarFromLimit(double available, double limit) -> bool;
 
-/// The part of \p limit that an entry may take between two reports, however many entries there are: a quarter far from
-/// the limit, an eighth while a fifth is left, nothing below.
-auto partAhead(double room, double limit) -> double;
+/// The amount of \p limit that an entry may take between two reports, regardless of the number of entries: a quarter if far from the
+/// limit, an eighth while at least a fifth is left, nothing below that.
+auto allowanceAhead(double available, double limit) -> double;
 
-/// The part of \p options that this entry may use now, 0 to 1, if \p entries share it.
+/// The share of the rate and burst that this entry may use now, 0 to 1, if \p entries share them.
 auto shareOf(const SharedBucket &bucket, std::uint32_t entries, TimePoint now) -> double;
 
-/// Brings both levels up to \p now.
+/// Refills both levels up to \p now.
 auto refill(SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, TimePoint now) -> void;
 
-/// What is asked of a bucket.
+/// The amount that a request takes from a bucket.
 struct Amount {
     double units = 0;
-    double reserve = 0; ///< the part of the burst that must be left afterwards
+    double reserve = 0; ///< fraction of the burst that must be left afterwards
 };
 
-/// Whether \p amount may be taken. With a reserve, only of what is above it, the entry's part of that between two reports,
-/// so that the entries together do not reach below it while their reports are late. An amount over the
-/// whole burst needs a full bucket and leaves a debt. Call refill() first.
+/// Whether \p amount may be taken. With a reserve, only what is above it may be taken, and of that only the entry's part between two
+/// reports, so that the entries together do not use the reserve while their reports are in transit. An amount larger than the burst
+/// needs a full bucket and leaves a debt. Call refill() first.
 auto mayTake(const SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, const Amount &amount, TimePoint now) -> bool;
 
 /// Takes \p amount after mayTake() allowed it.
 auto take(SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, const Amount &amount, TimePoint now) -> void;
 
-/// A report goes out; \p demand is what the one before it said and the peers have heard of by now.
-auto noteReported(SharedBucket &bucket, double demand, TimePoint now) -> void;
+/// Records that a report is sent. \p demand is the demand of the previous report, which the peers have received by now.
+auto recordReport(SharedBucket &bucket, double demand, TimePoint now) -> void;
 
-/// The peers' demand since their last report.
-auto notePeers(SharedBucket &bucket, const BucketOptions &options, double demand, TimePoint now) -> void;
+/// Records the demand of peers since their previous report.
+auto recordPeerDemand(SharedBucket &bucket, const BucketOptions &options, double demand, TimePoint now) -> void;
 
-/// Time until mayTake() may hold, if demand stays as it is.
-auto timeUntil(const SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, const Amount &amount, TimePoint now) -> Duration;
+/// Time until mayTake() is expected to allow \p amount, if demand does not change.
+auto timeUntilAvailable(const SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, const Amount &amount, TimePoint now) -> Duration;
 
 } // namespace auburnspread::limits
--- a/src/core/limits/tests/sharedlimits_tests.cpp
+++ b/src/core/limits/tests/sharedlimits_tests.cpp
@@ -17,7 +17,7 @@
 constexpr Duration TimeStep = 5ms;
 constexpr Duration ReportInterval = 250ms;
 constexpr Duration ReportDelay = 150ms;
-constexpr Duration AddressKept = 5s; ///< how long all callers of the workspace keep to one entry
+constexpr Duration AddressLifetime = 5s; ///< time for which all callers of the workspace use the same entry
 constexpr Duration AnswerTime = 1s;
 constexpr std::uint32_t Tokens = 100;
 
@@ -33,16 +33,16 @@
     std::size_t entry = 0;
 };
 
-/// Requests of one tier of the workspace, and what became of them.
+/// Requests of one tier of the workspace, with counts of their outcomes.
 struct Flow {
     double perSecond = 0;
-    bool clumped = false; ///< all at one entry while its address is kept, or else each at any entry
-    double reserve = 0;   ///< see Ask
-    int taken = 0;
+    bool clumped = false; ///< whether all requests go to the same entry during AddressLifetime, instead of each to a random entry
+    double reserve = 0;   ///< see LimitRequest
+    int admitted = 0;
     int refused = 0;
 };
 
-/// Entries whose reports are sent at different times and arrive late.
+/// Entries whose reports are sent at different times and arrive with a delay.
 struct Cell {
     explicit Cell(std::size_t count)
         : entries(count)
@@ -51,12 +51,12 @@
     }
 
     std::vector<WorkspaceUsage> entries;
-    std::vector<std::uint32_t> peersOpen; ///< by entry, as it last reported
+    std::vector<std::uint32_t> peersOpen; ///< for each entry, the open requests in its last report
     std::deque<Report> reports;
     std::deque<Answer> answers;
     TimePoint now{};
     std::mt19937 generator{ 11 };
-    std::size_t busy = 0; ///< the entry that the callers keep to
+    std::size_t clumpEntry = 0; ///< the entry that clumped callers use
     std::uint32_t mostOpen = 0;
 };
 
@@ -67,7 +67,7 @@
             continue;
         }
         auto &usage = cell.entries[to];
-        notePeerDemand(usage, limits, report.demand, cell.now);
+        recordPeerDemand(usage, limits, report.demand, cell.now);
         usage.peersOpen = usage.peersOpen - cell.peersOpen[report.from] + report.open;
     }
     cell.peersOpen[report.from] = report.open;
@@ -102,14 +102,14 @@
     return std::uniform_int_distribution<std::size_t>(0, cell.entries.size() - 1)(cell.generator);
 }
 
-auto ask(Cell &cell, const configuration::Workspace &limits, Flow &flow) -> void
+auto sendRequest(Cell &cell, const configuration::Workspace &limits, Flow &flow) -> void
 {
-    const auto entry = flow.clumped ? cell.busy : pickEntry(cell);
-    if (takeIn(cell.entries[entry], limits, { .tokens = Tokens, .reserve = flow.reserve }, static_cast<std::uint32_t>(cell.entries.size()), cell.now)) {
+    const auto entry = flow.clumped ? cell.clumpEntry : pickEntry(cell);
+    if (admit(cell.entries[entry], limits, { .tokens = Tokens, .reserve = flow.reserve }, static_cast<std::uint32_t>(cell.entries.size()), cell.now)) {
         flow.refused += 1;
         return;
     }
-    flow.taken += 1;
+    flow.admitted += 1;
     cell.answers.push_back({ .ends = cell.now + AnswerTime, .entry = entry });
     std::uint32_t open = 0;
     for (const auto &usage : cell.entries) {
@@ -130,12 +130,12 @@
     for (; cell.now < end; cell.now += TimeStep) {
         endAnswers(cell);
         exchange(cell, limits);
-        if (cell.now.time_since_epoch() % AddressKept == Duration::zero()) {
-            cell.busy = pickEntry(cell);
+        if (cell.now.time_since_epoch() % AddressLifetime == Duration::zero()) {
+            cell.clumpEntry = pickEntry(cell);
         }
         for (auto &flow : flows) {
             for (auto count = arrivalsInStep(cell, flow.perSecond); count > 0; --count) {
-                ask(cell, limits, flow);
+                sendRequest(cell, limits, flow);
             }
         }
     }
@@ -153,28 +153,28 @@
 
 } // namespace
 
-// A workspace at a third of its limits is refused. Its callers keep one address for seconds, so that its requests come
-// in clumps to one entry after the other, while that entry knows its own demand only from its next report and its peers'
-// from theirs. Its share then seems next to nothing, although nobody uses the rest.
+// Guards against refusing a workspace that is at a third of its limits. Its callers keep one address for seconds, so its requests arrive in
+// clumps at one entry after another. That entry counts its own demand only from its next report on and that of its peers only after their
+// reports, so its share would be close to zero although no other entry uses the rest.
 TEST(SharedLimitsTests, aWorkspaceFarBelowItsLimitsIsNeverRefused)
 {
     for (const std::size_t entries : { 1, 3, 8, 12 }) {
         for (const bool clumped : { true, false }) {
-            for (const auto reserve : { 0.0, LargestReserve }) {
+            for (const auto reserve : { 0.0, MaxReserve }) {
                 Cell cell(entries);
                 std::vector<Flow> flows{ { .perSecond = 2.8, .clumped = clumped, .reserve = reserve } };
                 run(cell, smallWorkspace(), flows, 600s);
                 EXPECT_EQ(flows[0].refused, 0) << entries << " entries, clumped " << clumped << ", reserve " << reserve;
-                EXPECT_GT(flows[0].taken, 1500);
+                EXPECT_GT(flows[0].admitted, 1500);
             }
         }
     }
 }
 
-// A workspace asks for five times its rate, at one entry after the other or at all of them. All entries together take
-// its rate and, once, its burst or a quarter of it at each, whichever is more. Where the callers move together, each
-// entry that they reach needs a second to be left the rate: the workspace loses part of it, but no more than a quarter.
-TEST(SharedLimitsTests, aWorkspaceOverItsLimitIsHeldToItOverAllEntries)
+// A workspace demands five times its rate, at one entry after another or at all of them. All entries together admit its rate and, once, its
+// burst or a quarter of it at each entry, whichever is more. If the callers move together, each entry needs a second after they arrive until
+// it is left the whole rate: the workspace may lose part of its rate, but no more than a quarter.
+TEST(SharedLimitsTests, rateLimitHoldsOverAllEntries)
 {
     constexpr int Rate = 8;
     constexpr int Burst = 24;
@@ -184,15 +184,15 @@
             Cell cell(static_cast<std::size_t>(entries));
             std::vector<Flow> flows{ { .perSecond = 5 * Rate, .clumped = clumped } };
             run(cell, { .requestsPerSecond = Rate, .requestBurst = Burst }, flows, std::chrono::seconds(Time));
-            EXPECT_LE(flows[0].taken, Rate * Time * 1.1 + std::max(Burst, entries * Burst / 4)) << entries << " entries, clumped " << clumped;
-            EXPECT_GE(flows[0].taken, Rate * Time * (clumped ? 0.75 : 0.95)) << entries << " entries, clumped " << clumped;
+            EXPECT_LE(flows[0].admitted, Rate * Time * 1.1 + std::max(Burst, entries * Burst / 4)) << entries << " entries, clumped " << clumped;
+            EXPECT_GE(flows[0].admitted, Rate * Time * (clumped ? 0.75 : 0.95)) << entries << " entries, clumped " << clumped;
         }
     }
 }
 
-// The same with requests open: together they stay within the limit, or the quarter of it that each entry may open before
-// it hears of the others, and two requests for each entry. Open places are not left unused meanwhile.
-TEST(SharedLimitsTests, concurrencyIsHeldOverAllEntries)
+// The same for concurrent requests: together the entries stay within the limit, or within the quarter of it that each entry may open before
+// it receives reports of the others, plus two requests for each entry. Most of the places must be used.
+TEST(SharedLimitsTests, concurrencyLimitHoldsOverAllEntries)
 {
     constexpr int Concurrency = 24;
     for (const int entries : { 1, 3, 8 }) {
@@ -201,36 +201,36 @@
             std::vector<Flow> flows{ { .perSecond = 5 * Concurrency, .clumped = clumped } };
             run(cell, { .concurrency = Concurrency }, flows, 60s);
             EXPECT_LE(cell.mostOpen, std::max(Concurrency, entries * Concurrency / 4) + 2 * entries) << entries << " entries, clumped " << clumped;
-            EXPECT_GE(flows[0].taken, Concurrency * 60 * 0.7) << entries << " entries, clumped " << clumped;
+            EXPECT_GE(flows[0].admitted, Concurrency * 60 * 0.7) << entries << " entries, clumped " << clumped;
         }
     }
 }
 
-// A lower tier of a workspace asks for twenty times its limits, for a minute, while the highest tier goes on at a quarter
-// of them. Did each request take what is left, the bucket would be empty and every place open when the next of the
-// highest tier comes, and it would be refused for the sake of lower ones.
-TEST(SharedLimitsTests, aFloodOfALowerTierLeavesTheHighestItsPart)
+// Guards against refusing the highest tier because of a flood of a lower one. For a minute, the lower tier demands twenty times the limits of
+// the workspace, while the highest tier uses a quarter of them. If each request could take what is left, the buckets would be empty and all
+// places in use whenever a request of the highest tier arrives.
+TEST(SharedLimitsTests, aFloodOfALowerTierLeavesTheReserveToTheHighest)
 {
     for (const std::size_t entries : { 1, 3, 8 }) {
         for (const bool clumped : { true, false }) {
             Cell cell(entries);
-            std::vector<Flow> flows{ { .perSecond = 15, .clumped = clumped }, { .perSecond = 1200, .reserve = LargestReserve } };
+            std::vector<Flow> flows{ { .perSecond = 15, .clumped = clumped }, { .perSecond = 1200, .reserve = MaxReserve } };
             run(cell, largeWorkspace(), flows, 60s);
-            EXPECT_EQ(flows[0].refused, 0) << entries << " entries, clumped " << clumped << ", of " << flows[0].taken;
-            EXPECT_GT(flows[1].taken, 30 * 60) << entries << " entries, clumped " << clumped;
+            EXPECT_EQ(flows[0].refused, 0) << entries << " entries, clumped " << clumped << ", of " << flows[0].admitted;
+            EXPECT_GT(flows[1].admitted, 30 * 60) << entries << " entries, clumped " << clumped;
         }
     }
 }
 
-// The highest tier alone asks for ten times the limits for a minute. Its lower tiers must not starve meanwhile: what the
-// highest takes lets one request of the lower ones compete on equal terms for each ten of its own.
+// Guards against starving the lower tiers. The highest tier demands ten times the limits for a minute; for each ten of its admitted
+// requests, one of the lower tiers may compete on equal terms.
 TEST(SharedLimitsTests, aFloodOfTheHighestTierDoesNotStarveALowerOne)
 {
     for (const std::size_t entries : { 1, 3, 8 }) {
         Cell cell(entries);
-        std::vector<Flow> flows{ { .perSecond = 600 }, { .perSecond = 60, .reserve = LargestReserve } };
+        std::vector<Flow> flows{ { .perSecond = 600 }, { .perSecond = 60, .reserve = MaxReserve } };
         run(cell, largeWorkspace(), flows, 60s);
-        EXPECT_GT(flows[1].taken, 60) << entries << " entries";
-        EXPECT_GT(flows[0].taken, flows[1].taken * 9) << entries << " entries";
+        EXPECT_GT(flows[1].admitted, 60) << entries << " entries";
+        EXPECT_GT(flows[0].admitted, flows[1].admitted * 9) << entries << " entries";
     }
 }
--- a/src/core/limits/tests/workspacelimits_tests.cpp
+++ b/src/core/limits/tests/workspacelimits_tests.cpp
@@ -11,9 +11,9 @@
 {
 
 constexpr Duration ReportInterval = std::chrono::milliseconds(250);
-constexpr int OffersPerInterval = 100; ///< at each entry that has demand: far over the limit
+constexpr int OffersPerInterval = 100; ///< requests at each entry with demand, far above the limit
 
-/// Entries that exchange demand after each interval.
+/// Entries that exchange their demand after each interval.
 struct Cell {
     std::vector<WorkspaceUsage> entries;
     configuration::Workspace limits;
@@ -40,24 +40,25 @@
     for (std::size_t from = 0; from < demands.size(); ++from) {
         for (std::size_t to = 0; to < cell.entries.size(); ++to) {
             if (from != to) {
-                notePeerDemand(cell.entries[to], cell.limits, demands[from], cell.now);
+                recordPeerDemand(cell.entries[to], cell.limits, demands[from], cell.now);
             }
         }
     }
 }
 
-/// One interval of demand at the first \p busy entries; returns how many requests were taken in at each.
+/// Simulates one interval of demand at the first \p busy entries.
+/// \return the number of requests that each entry admitted
 auto offer(Cell &cell, std::size_t busy) -> std::vector<int>
 {
-    std::vector<int> taken(cell.entries.size());
+    std::vector<int> admitted(cell.entries.size());
     for (int offer = 0; offer < OffersPerInterval; ++offer) {
         cell.now += ReportInterval / OffersPerInterval;
         for (std::size_t entry = 0; entry < busy; ++entry) {
-            taken[entry] += takeIn(cell.entries[entry], cell.limits, { .tokens = 10 }, static_cast<std::uint32_t>(cell.entries.size()), cell.now) ? 0 : 1;
+            admitted[entry] += admit(cell.entries[entry], cell.limits, { .tokens = 10 }, static_cast<std::uint32_t>(cell.entries.size()), cell.now) ? 0 : 1;
         }
     }
     exchange(cell);
-    return taken;
+    return admitted;
 }
 
 auto sum(const std::vector<int> &counts) -> int
@@ -71,13 +72,14 @@
 
 } // namespace
 
-// A workspace floods every entry at once, then only one of them. Together the entries admit its rate: first each its
-// even part of the burst, then by share of demand; the one entry that is left gets the whole rate within seconds. Were
-// the shares worked out from what was admitted instead of what was asked, the others' shares would never come back.
+// A workspace floods all entries at once, then only one of them. Together the entries admit its rate: first each its even part of the burst,
+// then according to its share of demand. The one entry that is left gets the whole rate within seconds; if shares were computed from the
+// admitted requests instead of the demand, an entry that admitted
+// little would never recover its share.
 TEST(WorkspaceLimitsTests, rateHoldsOverAllEntriesAndFollowsDemand)
 {
     Cell cell{ .entries = std::vector<WorkspaceUsage>(8), .limits = { .requestsPerSecond = 80, .requestBurst = 80 } };
-    EXPECT_LE(sum(offer(cell, 8)), 80 + 8 * 20 + 8); // the burst, and one interval's refill at each entry before they heard of each other
+    EXPECT_LE(sum(offer(cell, 8)), 80 + 8 * 20 + 8); // the burst, and the refill of one interval at each entry before the first reports
     int steady = 0;
     for (int interval = 0; interval < 40; ++interval) {
         steady += sum(offer(cell, 8));
@@ -104,16 +106,16 @@
     EXPECT_EQ(countOpen(cell), 12U);
 }
 
-TEST(WorkspaceLimitsTests, tokensBeyondTheExpectedOnesAreADebt)
+TEST(WorkspaceLimitsTests, tokensUsedBeyondTheExpectedOnesAreCharged)
 {
     WorkspaceUsage usage;
     const configuration::Workspace limits{ .tokensPerSecond = 100, .tokenBurst = 100 };
     TimePoint now{};
-    ASSERT_FALSE(takeIn(usage, limits, { .tokens = 50 }, 1, now));
+    ASSERT_FALSE(admit(usage, limits, { .tokens = 50 }, 1, now));
     release(usage, 50, 550);
     now += std::chrono::seconds(4);
-    const auto limited = takeIn(usage, limits, { .tokens = 50 }, 1, now);
-    ASSERT_TRUE(limited);
-    EXPECT_EQ(limited->reason, Reason::WorkspaceTokenRate);
-    EXPECT_EQ(limited->retryAfter, std::chrono::seconds(1));
+    const auto refusal = admit(usage, limits, { .tokens = 50 }, 1, now);
+    ASSERT_TRUE(refusal);
+    EXPECT_EQ(refusal->reason, Reason::WorkspaceTokenRate);
+    EXPECT_EQ(refusal->retryAfter, std::chrono::seconds(1));
 }
--- a/src/core/limits/workspacelimits.cpp
+++ b/src/core/limits/workspacelimits.cpp
@@ -22,48 +22,49 @@
     return { .perSecond = static_cast<double>(limits.tokensPerSecond), .burst = static_cast<double>(limits.tokenBurst) };
 }
 
-/// At least one place, also of a small limit.
-auto placesFor(const configuration::Workspace &limits, double reserve) -> std::uint32_t
+/// Concurrent requests that are allowed outside the reserve: at least one, even for a small limit.
+auto placesOutsideReserve(const configuration::Workspace &limits, double reserve) -> std::uint32_t
 {
-    const auto kept = static_cast<std::uint32_t>(std::ceil(limits.concurrency * reserve));
-    return std::max(1U, limits.concurrency - kept);
+    const auto reservedPlaces = static_cast<std::uint32_t>(std::ceil(limits.concurrency * reserve));
+    return std::max(1U, limits.concurrency - reservedPlaces);
 }
 
-/// Whether an entry may open one more though the peers do not know of all that it opened. A highest tier may open a part of
-/// the limit, and otherwise keeps to the entry's part of the places; a lower one keeps to its part of what is left of its own.
-auto mayOpenAhead(const WorkspaceUsage &usage, const configuration::Workspace &limits, double reserve, std::uint32_t entries, TimePoint now) -> bool
+/// Whether an entry may open one more request although its peers do not know of all its open requests. The highest tier may take an
+/// allowance of the limit, and otherwise its entry's part of the places; a lower tier may take the entry's part of the places that are left
+/// outside the reserve.
+auto mayOpenAheadOfReports(const WorkspaceUsage &usage, const configuration::Workspace &limits, double reserve, std::uint32_t entries, TimePoint now) -> bool
 {
-    const auto places = placesFor(limits, reserve);
-    const auto unheard = totalOf(usage.opened);
-    const auto room = std::min<double>(places, places - usage.open - usage.peersOpen + unheard);
+    const auto places = placesOutsideReserve(limits, reserve);
+    const auto unreported = totalOf(usage.opened);
+    const auto available = std::min<double>(places, places - usage.open - usage.peersOpen + unreported);
     const auto share = shareOf(usage.requests, entries, now);
-    const auto part = partAhead(room, limits.concurrency);
-    const auto isFar = isFarFromLimit(room, places);
-    const auto least = isFar ? 1.0 : 0.0;
-    const auto even = room / std::max<std::uint32_t>(entries, 1);
+    const auto allowance = allowanceAhead(available, limits.concurrency);
+    const auto isFar = isFarFromLimit(available, places);
+    const auto minimum = isFar ? 1.0 : 0.0;
+    const auto evenPart = available / std::max<std::uint32_t>(entries, 1);
     if (reserve > 0) {
-        const auto clump = isFar ? std::min(limits.concurrency * MostClumped, ClumpedRequests) : 0.0;
-        return unheard + 1 <= std::max({ least, even, room * share, clump });
+        const auto clumpAllowance = isFar ? std::min(limits.concurrency * MaxClumpShare, MaxClumpRequests) : 0.0;
+        return unreported + 1 <= std::max({ minimum, evenPart, available * share, clumpAllowance });
     }
-    if (totalOf(usage.openedHighest) + 1 <= std::max({ least, even, part })) {
+    if (totalOf(usage.openedHighest) + 1 <= std::max({ minimum, evenPart, allowance })) {
         return true;
     }
     return usage.open == 0 || usage.open < std::ceil(places * share);
 }
 
-auto hasOpenPlace(const WorkspaceUsage &usage, const configuration::Workspace &limits, double reserve, std::uint32_t entries, TimePoint now) -> bool
+auto hasConcurrencyLeft(const WorkspaceUsage &usage, const configuration::Workspace &limits, double reserve, std::uint32_t entries, TimePoint now) -> bool
 {
     if (limits.concurrency == 0) {
         return true;
     }
-    if (usage.open + usage.peersOpen >= placesFor(limits, reserve)) {
+    if (usage.open + usage.peersOpen >= placesOutsideReserve(limits, reserve)) {
         return false;
     }
-    return mayOpenAhead(usage, limits, reserve, entries, now);
+    return mayOpenAheadOfReports(usage, limits, reserve, entries, now);
 }
 
-auto checkBucket(SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, const Amount &amount, Reason reason, TimePoint now)
-    -> std::optional<Limited>
+auto checkRate(SharedBucket &bucket, const BucketOptions &options, std::uint32_t entries, const Amount &amount, Reason reason, TimePoint now)
+    -> std::optional<LimitRefusal>
 {
     if (options.perSecond <= 0) {
         return std::nullopt;
@@ -72,76 +73,78 @@
     if (mayTake(bucket, options, entries, amount, now)) {
         return std::nullopt;
     }
-    return Limited{ .reason = reason, .retryAfter = timeUntil(bucket, options, entries, amount, now) };
+    return LimitRefusal{ .reason = reason, .retryAfter = timeUntilAvailable(bucket, options, entries, amount, now) };
 }
 
-auto findLimit(WorkspaceUsage &usage, const configuration::Workspace &limits, const Ask &ask, std::uint32_t entries, TimePoint now) -> std::optional<Limited>
+auto findExceededLimit(WorkspaceUsage &usage, const configuration::Workspace &limits, const LimitRequest &request, std::uint32_t entries, TimePoint now)
+    -> std::optional<LimitRefusal>
 {
-    if (!hasOpenPlace(usage, limits, ask.reserve, entries, now)) {
-        return Limited{ .reason = Reason::WorkspaceConcurrency, .retryAfter = ConcurrencyRetryAfter };
+    if (!hasConcurrencyLeft(usage, limits, request.reserve, entries, now)) {
+        return LimitRefusal{ .reason = Reason::WorkspaceConcurrency, .retryAfter = ConcurrencyRetryAfter };
     }
-    const Amount one{ .units = 1, .reserve = ask.reserve };
-    if (const auto limited = checkBucket(usage.requests, requestOptions(limits), entries, one, Reason::WorkspaceRequestRate, now)) {
-        return limited;
+    const Amount one{ .units = 1, .reserve = request.reserve };
+    if (const auto refusal = checkRate(usage.requests, requestOptions(limits), entries, one, Reason::WorkspaceRequestRate, now)) {
+        return refusal;
     }
-    const Amount tokens{ .units = static_cast<double>(ask.tokens), .reserve = ask.reserve };
-    return checkBucket(usage.tokens, tokenOptions(limits), entries, tokens, Reason::WorkspaceTokenRate, now);
+    const Amount tokens{ .units = static_cast<double>(request.tokens), .reserve = request.reserve };
+    return checkRate(usage.tokens, tokenOptions(limits), entries, tokens, Reason::WorkspaceTokenRate, now);
 }
 
-/// What the request takes of what lower tiers are owed, or adds to it.
-auto settleOwed(WorkspaceUsage &usage, double reserve, bool passedReserve) -> void
+/// Updates the credit of lower tiers after a request was admitted: a request that ignored the reserve uses it, one of a higher tier adds to it.
+auto updateReserveCredit(WorkspaceUsage &usage, double reserve, bool ignoredReserve) -> void
 {
-    constexpr double OwedForOne = 0.1;
-    constexpr double MostOwed = 3;
-    if (passedReserve) {
-        usage.owed -= 1;
-    } else if (reserve < LargestReserve) {
-        usage.owed = std::min(MostOwed, usage.owed + OwedForOne);
+    constexpr double CreditPerRequest = 0.1;
+    constexpr double MaxCredit = 3;
+    if (ignoredReserve) {
+        usage.reserveCredit -= 1;
+    } else if (reserve < MaxReserve) {
+        usage.reserveCredit = std::min(MaxCredit, usage.reserveCredit + CreditPerRequest);
     }
 }
 
-auto noteDemand(WorkspaceUsage &usage, const Ask &ask) -> void
+auto countDemand(WorkspaceUsage &usage, const LimitRequest &request) -> void
 {
     usage.unreported.requests += 1;
-    usage.unreported.tokens += ask.tokens;
+    usage.unreported.tokens += request.tokens;
 }
 
 } // namespace
 
-auto addTier(Tiers tiers, int tier) -> Tiers
+auto addTier(TierSet tiers, int tier) -> TierSet
 {
     return tiers | (1U << static_cast<unsigned>(tier));
 }
 
-auto reserveOf(Tiers tiers, int tier) -> double
+auto reserveForTier(TierSet tiers, int tier) -> double
 {
     const auto steps = std::popcount(tiers) - 1;
     if (steps <= 0) {
         return 0;
     }
     const auto higher = std::popcount(tiers & (addTier(0, tier) - 1));
-    return std::min(1.0, static_cast<double>(higher) / steps) * LargestReserve;
+    return std::min(1.0, static_cast<double>(higher) / steps) * MaxReserve;
 }
 
-auto takeIn(WorkspaceUsage &usage, const configuration::Workspace &limits, const Ask &ask, std::uint32_t entries, TimePoint now) -> std::optional<Limited>
+auto admit(WorkspaceUsage &usage, const configuration::Workspace &limits, const LimitRequest &request, std::uint32_t entries, TimePoint now)
+    -> std::optional<LimitRefusal>
 {
-    auto limited = findLimit(usage, limits, ask, entries, now);
-    const auto mayPassReserve = limited && ask.reserve > 0 && usage.owed >= 1;
-    if (mayPassReserve) {
-        limited = findLimit(usage, limits, { .tokens = ask.tokens }, entries, now);
+    auto refusal = findExceededLimit(usage, limits, request, entries, now);
+    const auto ignoresReserve = refusal && request.reserve > 0 && usage.reserveCredit >= 1;
+    if (ignoresReserve) {
+        refusal = findExceededLimit(usage, limits, { .tokens = request.tokens }, entries, now);
     }
-    if (!limited || ask.reserve <= 0) {
-        noteDemand(usage, ask);
+    if (!refusal || request.reserve <= 0) {
+        countDemand(usage, request);
     }
-    if (limited) {
-        return limited;
+    if (refusal) {
+        return refusal;
     }
-    settleOwed(usage, ask.reserve, mayPassReserve);
-    take(usage.requests, requestOptions(limits), entries, { .units = 1, .reserve = ask.reserve }, now);
-    take(usage.tokens, tokenOptions(limits), entries, { .units = static_cast<double>(ask.tokens), .reserve = ask.reserve }, now);
+    updateReserveCredit(usage, request.reserve, ignoresReserve);
+    take(usage.requests, requestOptions(limits), entries, { .units = 1, .reserve = request.reserve }, now);
+    take(usage.tokens, tokenOptions(limits), entries, { .units = static_cast<double>(request.tokens), .reserve = request.reserve }, now);
     usage.open += 1;
     usage.opened.recent += 1;
-    usage.openedHighest.recent += ask.reserve > 0 ? 0 : 1;
+    usage.openedHighest.recent += request.reserve > 0 ? 0 : 1;
     return std::nullopt;
 }
 
@@ -157,18 +160,18 @@
 {
     const auto demand = usage.unreported;
     usage.unreported = {};
-    shift(usage.opened);
-    shift(usage.openedHighest);
-    noteReported(usage.requests, usage.lastReported.requests, now);
-    noteReported(usage.tokens, usage.lastReported.tokens, now);
+    startNextInterval(usage.opened);
+    startNextInterval(usage.openedHighest);
+    recordReport(usage.requests, usage.lastReported.requests, now);
+    recordReport(usage.tokens, usage.lastReported.tokens, now);
     usage.lastReported = demand;
     return demand;
 }
 
-auto notePeerDemand(WorkspaceUsage &usage, const configuration::Workspace &limits, const Demand &demand, TimePoint now) -> void
+auto recordPeerDemand(WorkspaceUsage &usage, const configuration::Workspace &limits, const Demand &demand, TimePoint now) -> void
 {
-    notePeers(usage.requests, requestOptions(limits), demand.requests, now);
-    notePeers(usage.tokens, tokenOptions(limits), demand.tokens, now);
+    recordPeerDemand(usage.requests, requestOptions(limits), demand.requests, now);
+    recordPeerDemand(usage.tokens, tokenOptions(limits), demand.tokens, now);
 }
 
 } // namespace auburnspread::limits
--- a/src/core/limits/workspacelimits.h
+++ b/src/core/limits/workspacelimits.h
@@ -1,13 +1,13 @@
 /// \file
-/// A workspace's limits on requests a second, tokens a second and requests open at once, over all entries together.
+/// Limits of a workspace on requests per second, tokens per second and concurrent requests, over all entries together.
 ///
-/// Part of each limit is kept for the workspace's higher tiers. Failure: a burst of a lower tier empties the buckets and
-/// opens every place. Symptom: the workspace's next request of the highest tier is refused, as if it had been shed for
-/// the lower one. Keeping a part back is enough: a lower tier takes neither from a bucket of the cell below the part nor
-/// a place beyond it, by its entry's share no more than by the cell's level, and between two reports at most its even
-/// part of what is above; and what it was refused is not reported as demand, so it closes no entry to the higher tier.
-/// The part is small enough to cost lower tiers burst only, not rate. So that a flood of the highest tier starves no
-/// lower one in turn, every ten requests that a higher tier takes let one of a lower tier compete on equal terms.
+/// Part of each limit is reserved for the higher tiers of the workspace. Otherwise a burst of a lower tier would empty the buckets and
+/// use all concurrent places, and the next request of the highest tier would be refused, as if it had been shed in favour of the
+/// lower one. A lower tier may take neither from a cell's bucket below the reserve nor a place beyond it, whether its entry's share or the
+/// cell level would allow it, and between two reports at most its even part of what is above the reserve. Its refused requests are not
+/// reported as demand, so they do not block the higher tier at any entry. The reserve costs lower tiers only burst, not rate. To keep a
+/// flood of the highest tier from starving the lower ones in turn, every ten admitted requests of higher tiers let one of a lower tier
+/// ignore the reserve.
 
 #pragma once
 
@@ -22,59 +22,63 @@
 namespace auburnspread::limits
 {
 
-/// What was asked for since the last report, refused requests of the highest tier included.
+/// Demand since the last report, including refused requests of the highest tier.
 struct Demand {
     std::uint32_t requests = 0;
     std::uint32_t tokens = 0;
 };
 
-/// What one entry knows of the use of one workspace.
+/// Usage of one workspace as known to one entry.
 struct WorkspaceUsage {
     SharedBucket requests;
     SharedBucket tokens;
-    std::uint32_t open = 0;      ///< accepted here and not yet ended
-    std::uint32_t peersOpen = 0; ///< at the other entries, as last reported
-    double owed = 0;             ///< requests of lower tiers that may pass the part that is kept for higher ones
-    Unheard opened;              ///< accepted requests
-    Unheard openedHighest;       ///< of the highest tier
+    std::uint32_t open = 0;         ///< requests accepted by this entry that have not ended
+    std::uint32_t peersOpen = 0;    ///< open requests at the other entries, as last reported
+    double reserveCredit = 0;       ///< number of lower-tier requests that may ignore the reserve
+    UnreportedAmount opened;        ///< accepted requests of all tiers
+    UnreportedAmount openedHighest; ///< accepted requests of the highest tier
     Demand unreported;
-    Demand lastReported; ///< counts here from the next report on, when the peers have heard of it
+    Demand lastReported; ///< counts in this entry's share from the next report on, when the peers have received it
 };
 
-/// The largest part of a limit that is kept for higher tiers.
-constexpr double LargestReserve = 0.25;
+/// Largest fraction of a limit that is reserved for higher tiers.
+constexpr double MaxReserve = 0.25;
 
-/// What a request asks for.
-struct Ask {
-    std::uint32_t tokens = 0; ///< expected
-    double reserve = 0;       ///< part of each limit that is kept for higher tiers, up to LargestReserve
+/// What a request needs of the limits.
+struct LimitRequest {
+    std::uint32_t tokens = 0; ///< expected tokens
+    double reserve = 0;       ///< fraction of each limit that is reserved for higher tiers, up to MaxReserve
 };
 
-/// The tiers of a workspace's classes, a bit each.
-using Tiers = std::uint32_t;
+/// Set of the tiers of a workspace's classes, one bit each.
+using TierSet = std::uint32_t;
 
-auto addTier(Tiers tiers, int tier) -> Tiers;
+/// \return \p tiers with \p tier added
+auto addTier(TierSet tiers, int tier) -> TierSet;
 
-/// What is kept for higher tiers from a request of \p tier: nothing from the highest of \p tiers, LargestReserve from the
-/// lowest, even steps between.
-auto reserveOf(Tiers tiers, int tier) -> double;
+/// Fraction of each limit that requests of \p tier must leave to higher tiers: nothing for the highest of \p tiers, MaxReserve for the
+/// lowest, in even steps between.
+auto reserveForTier(TierSet tiers, int tier) -> double;
 
-struct Limited {
+/// A refusal because of a limit.
+struct LimitRefusal {
     Reason reason{};
     Duration retryAfter{};
 };
 
-/// Takes a request in, or says which limit it meets. Demand is counted either way, but for a lower tier's that is refused.
-auto takeIn(WorkspaceUsage &usage, const configuration::Workspace &limits, const Ask &ask, std::uint32_t entries, TimePoint now) -> std::optional<Limited>;
+/// Admits a request, or returns the limit that it exceeds. Its demand is counted in both cases, except for a refused request of a lower tier.
+auto admit(WorkspaceUsage &usage, const configuration::Workspace &limits, const LimitRequest &request, std::uint32_t entries, TimePoint now)
+    -> std::optional<LimitRefusal>;
 
-/// An accepted request has ended: \p charged tokens were expected, \p used were used.
+/// Records the end of an accepted request: \p charged tokens were expected, \p used were used.
 auto release(WorkspaceUsage &usage, std::uint32_t charged, std::uint32_t used) -> void;
 
-/// What this entry reports to its peers. It counts in its own share from the next report on: did it count here before
-/// the peers' demand of the same time was heard, each entry of a burst at all of them would think itself alone.
+/// \return the demand to report to the peers, and starts a new interval. The demand counts in this entry's share only from the next report on:
+/// if it counted before the peers' demand of the same interval is known, each entry would assume in a burst at all entries that it is the
+/// only one with demand.
 auto takeDemand(WorkspaceUsage &usage, TimePoint now) -> Demand;
 
-/// Another entry's demand since its last report.
-auto notePeerDemand(WorkspaceUsage &usage, const configuration::Workspace &limits, const Demand &demand, TimePoint now) -> void;
+/// Records another entry's demand since its previous report.
+auto recordPeerDemand(WorkspaceUsage &usage, const configuration::Workspace &limits, const Demand &demand, TimePoint now) -> void;
 
 } // namespace auburnspread::limits
--- a/src/core/routing/internal/arriving.cpp
+++ b/src/core/routing/internal/arriving.cpp
@@ -161,10 +161,10 @@
         return;
     }
     auto &workspace = *identified.workspace;
-    const limits::Ask ask{ .tokens = expectedCost(*identified.requestClass, identified.route, call),
-                           .reserve = limits::reserveOf(workspace.tiers, identified.requestClass->definition.tier) };
+    const limits::LimitRequest ask{ .tokens = expectedCost(*identified.requestClass, identified.route, call),
+                                    .reserve = limits::reserveForTier(workspace.tiers, identified.requestClass->definition.tier) };
     state.activeWorkspaces.try_emplace(workspace.definition.name, &workspace);
-    if (const auto limited = limits::takeIn(workspace.usage, workspace.definition, ask, state.entries, state.now)) {
+    if (const auto limited = limits::admit(workspace.usage, workspace.definition, ask, state.entries, state.now)) {
         identified.requestClass->refused += 1;
         refuseCall(call, { .reason = limited->reason, .step = "limits", .retryAfter = limited->retryAfter }, actions);
         return;
--- a/src/core/routing/internal/catalog.cpp
+++ b/src/core/routing/internal/catalog.cpp
@@ -100,9 +100,9 @@
     }
 }
 
-auto tiersOf(const RouterState &state, const configuration::Workspace &workspace) -> limits::Tiers
+auto tiersOf(const RouterState &state, const configuration::Workspace &workspace) -> limits::TierSet
 {
-    limits::Tiers tiers = 0;
+    limits::TierSet tiers = 0;
     for (const auto &name : workspace.classes) {
         const auto requestClass = state.classes.find(name);
         if (requestClass != state.classes.end()) {
--- a/src/core/routing/internal/reporting.cpp
+++ b/src/core/routing/internal/reporting.cpp
@@ -35,7 +35,7 @@
         if (workspace == nullptr) {
             continue;
         }
-        limits::notePeerDemand(workspace->usage, workspace->definition, { .requests = use.requests, .tokens = use.tokens }, state.now);
+        limits::recordPeerDemand(workspace->usage, workspace->definition, { .requests = use.requests, .tokens = use.tokens }, state.now);
         workspace->usage.peersOpen += use.inFlight;
         peer.open[use.workspace] += use.inFlight;
     }
--- a/src/core/routing/internal/state.h
+++ b/src/core/routing/internal/state.h
@@ -54,7 +54,7 @@
     WorkspaceId id{};
     configuration::Workspace definition;
     bool inDocument = true;
-    limits::Tiers tiers = 0; ///< of its classes
+    limits::TierSet tiers = 0; ///< of its classes
     limits::WorkspaceUsage usage;
 };
 
