--- a/src/core/passthrough/ejection.cpp
+++ b/src/core/passthrough/ejection.cpp
@@ -9,12 +9,12 @@
 {
 
 /// A server that turned bad stays so for some seconds.
-constexpr Duration EjectionTime = std::chrono::milliseconds(1000);
+constexpr Duration EjectionDuration = std::chrono::milliseconds(1000);
 /// Entries try it again within this time after the pause, in an order of their own: the first ones tell the rest.
-constexpr Duration ReturnSpread = std::chrono::milliseconds(1000);
+constexpr Duration ReturnJitter = std::chrono::milliseconds(1000);
 /// Part of a service's servers that may be out of use for their errors. Where more fail, the cause lies elsewhere, and the rest could not
 /// take their load.
-constexpr double MostEjectedPart = 0.5;
+constexpr double MaxEjectedShare = 0.5;
 
 auto isEjected(const ServerState &server, TimePoint now) -> bool
 {
@@ -29,24 +29,24 @@
     }
     const auto &all = found->second.all;
     const auto ejected = std::count_if(all.begin(), all.end(), [&](const ServerPointer &each) { return each.get() != &server && isEjected(*each, now); });
-    return static_cast<double>(ejected + 1) <= MostEjectedPart * static_cast<double>(all.size());
+    return static_cast<double>(ejected + 1) <= MaxEjectedShare * static_cast<double>(all.size());
 }
 
-auto ownSpread(const ServerTable &table, const ServerState &server) -> Duration
+auto returnJitter(const ServerTable &table, const ServerState &server) -> Duration
 {
-    const auto draw = (table.seed ^ server.hash) % static_cast<std::uint64_t>(ReturnSpread.count());
+    const auto draw = (table.seed ^ server.hash) % static_cast<std::uint64_t>(ReturnJitter.count());
     return Duration(static_cast<Duration::rep>(draw));
 }
 
-auto takeOut(const ServerTable &table, ServerState &server, TimePoint until, TimePoint now) -> void
+auto applyEjection(const ServerTable &table, ServerState &server, TimePoint until, TimePoint now) -> void
 {
-    suspectStrongly(server.errorEvidence);
+    markStronglySuspected(server.errorEvidence);
     if (mayEject(table, server, now)) {
-        server.ejectedUntil = std::max(server.ejectedUntil, until + ownSpread(table, server));
+        server.ejectedUntil = std::max(server.ejectedUntil, until + returnJitter(table, server));
     }
 }
 
-auto leftUntil(TimePoint until, TimePoint now) -> Duration
+auto remainingUntil(TimePoint until, TimePoint now) -> Duration
 {
     return std::max(until - now, Duration::zero());
 }
@@ -55,27 +55,27 @@
 
 auto eject(ServerTable &table, ServerState &server, bool isTold, TimePoint now) -> void
 {
-    takeOut(table, server, now + EjectionTime, now);
+    applyEjection(table, server, now + EjectionDuration, now);
     if (isTold) {
         markReportable(table, server);
-        server.ownEjectionUntil = now + EjectionTime;
+        server.ownEjectionUntil = now + EjectionDuration;
     }
 }
 
-auto hearEjection(ServerTable &table, ServerState &server, TimePoint until, TimePoint now) -> void
+auto applyPeerEjection(ServerTable &table, ServerState &server, TimePoint until, TimePoint now) -> void
 {
-    server.peerEjectionUntil = std::max(server.peerEjectionUntil, std::min(until, now + EjectionTime));
-    takeOut(table, server, server.peerEjectionUntil, now);
+    server.peerEjectionUntil = std::max(server.peerEjectionUntil, std::min(until, now + EjectionDuration));
+    applyEjection(table, server, server.peerEjectionUntil, now);
 }
 
-auto ownEjectionLeft(const ServerState &server, TimePoint now) -> Duration
+auto remainingOwnEjection(const ServerState &server, TimePoint now) -> Duration
 {
-    return leftUntil(server.ownEjectionUntil, now);
+    return remainingUntil(server.ownEjectionUntil, now);
 }
 
-auto ejectionLeft(const ServerState &server, TimePoint now) -> Duration
+auto remainingEjection(const ServerState &server, TimePoint now) -> Duration
 {
-    return leftUntil(std::max(server.ownEjectionUntil, server.peerEjectionUntil), now);
+    return remainingUntil(std::max(server.ownEjectionUntil, server.peerEjectionUntil), now);
 }
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/ejection.h
+++ b/src/core/passthrough/ejection.h
@@ -16,12 +16,12 @@
 auto eject(ServerTable &table, ServerState &server, bool isTold, TimePoint now) -> void;
 
 /// Another entry took it out of use until then.
-auto hearEjection(ServerTable &table, ServerState &server, TimePoint until, TimePoint now) -> void;
+auto applyPeerEjection(ServerTable &table, ServerState &server, TimePoint until, TimePoint now) -> void;
 
 /// How much longer it is out of use, as this entry found itself or as any entry told; 0: it is not.
 /// @{
-auto ownEjectionLeft(const ServerState &server, TimePoint now) -> Duration;
-auto ejectionLeft(const ServerState &server, TimePoint now) -> Duration;
+auto remainingOwnEjection(const ServerState &server, TimePoint now) -> Duration;
+auto remainingEjection(const ServerState &server, TimePoint now) -> Duration;
 /// @}
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/enginecache.cpp
+++ b/src/core/passthrough/enginecache.cpp
@@ -9,16 +9,16 @@
 {
 
 /// An engine's memory yields the parts used least recently; a part that nobody asked for in this time may be gone.
-constexpr Duration CacheMemory = std::chrono::seconds(20);
-constexpr std::size_t MostParts = 1024;
+constexpr Duration RetentionTime = std::chrono::seconds(20);
+constexpr std::size_t MaxParts = 1024;
 /// An engine takes on no more than it can begin within some hundred milliseconds, so it has read by then what was sent.
-constexpr Duration ReadingPatience = std::chrono::milliseconds(500);
+constexpr Duration PrefillDelay = std::chrono::milliseconds(500);
 /// Uses are told to others within some hundred milliseconds; older ones are dropped.
-constexpr Duration RecentTime = std::chrono::milliseconds(400);
+constexpr Duration RecentSendAge = std::chrono::milliseconds(400);
 
 auto dropOldest(EngineCache &cache) -> void
 {
-    const auto isOlder = [](const auto &a, const auto &b) { return a.second.usedAt < b.second.usedAt; };
+    const auto isOlder = [](const auto &a, const auto &b) { return a.second.lastSentAt < b.second.lastSentAt; };
     const auto oldest = std::min_element(cache.parts.begin(), cache.parts.end(), isOlder);
     cache.tokens -= oldest->second.tokens;
     cache.parts.erase(oldest);
@@ -26,23 +26,23 @@
 
 auto isTooFull(const EngineCache &cache, std::uint64_t capacity) -> bool
 {
-    return cache.parts.size() > MostParts || (capacity > 0 && cache.tokens > capacity);
+    return cache.parts.size() > MaxParts || (capacity > 0 && cache.tokens > capacity);
 }
 
 auto isKept(const EngineCache::Part &part, TimePoint now) -> bool
 {
-    return now - part.usedAt < CacheMemory;
+    return now - part.lastSentAt < RetentionTime;
 }
 
 } // namespace
 
-auto noteUse(EngineCache &cache, const PromptPart &part, std::uint64_t capacity, TimePoint now) -> void
+auto recordUse(EngineCache &cache, const PromptPart &part, std::uint64_t capacity, TimePoint now) -> void
 {
     auto &known = cache.parts[part.id];
     cache.tokens += part.tokens;
     cache.tokens -= known.tokens;
     const auto isNew = known.tokens == 0 || !isKept(known, now);
-    known = { .tokens = part.tokens, .sentAt = isNew ? now : known.sentAt, .usedAt = now };
+    known = { .tokens = part.tokens, .firstSentAt = isNew ? now : known.firstSentAt, .lastSentAt = now };
     while (cache.parts.size() > 1 && isTooFull(cache, capacity)) {
         dropOldest(cache);
     }
@@ -67,31 +67,31 @@
 
 } // namespace
 
-auto heldPrefix(const EngineCache &cache, const Prompt &prompt, TimePoint now) -> std::uint32_t
+auto cachedPrefixTokens(const EngineCache &cache, const Prompt &prompt, TimePoint now) -> std::uint32_t
 {
     return prefixTokens(cache, prompt, [now](const EngineCache::Part &part) { return isKept(part, now); });
 }
 
-auto readPrefix(const EngineCache &cache, const Prompt &prompt, TimePoint now) -> std::uint32_t
+auto processedPrefixTokens(const EngineCache &cache, const Prompt &prompt, TimePoint now) -> std::uint32_t
 {
-    return prefixTokens(cache, prompt, [now](const EngineCache::Part &part) { return isKept(part, now) && now - part.sentAt >= ReadingPatience; });
+    return prefixTokens(cache, prompt, [now](const EngineCache::Part &part) { return isKept(part, now) && now - part.firstSentAt >= PrefillDelay; });
 }
 
-auto holds(const EngineCache &cache, std::uint64_t part, TimePoint now) -> bool
+auto containsPart(const EngineCache &cache, std::uint64_t part, TimePoint now) -> bool
 {
     const auto found = cache.parts.find(part);
     return found != cache.parts.end() && isKept(found->second, now);
 }
 
-auto noteSent(RecentParts &recent, const PromptPart &part, TimePoint now) -> void
+auto recordSentPart(RecentlySentParts &recent, const PromptPart &part, TimePoint now) -> void
 {
     recent.sent.push_back({ .part = part, .at = now });
-    while (now - recent.sent.front().at > RecentTime) {
+    while (now - recent.sent.front().at > RecentSendAge) {
         recent.sent.pop_front();
     }
 }
 
-auto addSentWithin(const RecentParts &recent, Duration window, TimePoint now, std::vector<PromptPart> &list) -> void
+auto appendSentWithin(const RecentlySentParts &recent, Duration window, TimePoint now, std::vector<PromptPart> &list) -> void
 {
     for (auto each = recent.sent.rbegin(); each != recent.sent.rend() && now - each->at <= window; ++each) {
         const auto isListed = std::any_of(list.begin(), list.end(), [each](const PromptPart &part) { return part.id == each->part.id; });
--- a/src/core/passthrough/errorevidence.cpp
+++ b/src/core/passthrough/errorevidence.cpp
@@ -10,32 +10,32 @@
 {
 
 /// Part of a bad server's answers that are errors.
-constexpr double BadErrorPart = 0.7;
+constexpr double FaultyServerErrorRate = 0.7;
 /// However seldom requests fail, one error alone says little.
-constexpr double LeastUsualPart = 0.02;
-constexpr double MostUsualPart = 0.5;
+constexpr double MinBaselineRate = 0.02;
+constexpr double MaxBaselineRate = 0.5;
 /// Odds of ten thousand to one.
-constexpr double ConvincingLogOdds = 9.2;
-constexpr double SuspectedLogOdds = ConvincingLogOdds / 2;
-constexpr double StrongLogOdds = ConvincingLogOdds - 0.3;
+constexpr double ConclusiveLogOdds = 9.2;
+constexpr double SuspectedLogOdds = ConclusiveLogOdds / 2;
+constexpr double StrongLogOdds = ConclusiveLogOdds - 0.3;
 /// Of one answer in the average of the errors of a route: the last fifty count.
 constexpr double AnswerWeight = 0.02;
 
 } // namespace
 
-auto noteAnswer(ErrorEvidence &evidence, UsualErrors &usual, bool isError) -> void
+auto recordAnswer(ErrorEvidence &evidence, BaselineErrorRate &baseline, bool isError) -> void
 {
-    const auto part = std::clamp(usual.part, LeastUsualPart, MostUsualPart);
-    const auto shift = isError ? std::log(BadErrorPart / part) : std::log((1 - BadErrorPart) / (1 - part));
+    const auto rate = std::clamp(baseline.rate, MinBaselineRate, MaxBaselineRate);
+    const auto shift = isError ? std::log(FaultyServerErrorRate / rate) : std::log((1 - FaultyServerErrorRate) / (1 - rate));
     evidence.logOdds = std::max(0.0, evidence.logOdds + shift);
     if (!isSuspected(evidence)) {
-        usual.part += AnswerWeight * ((isError ? 1 : 0) - usual.part);
+        baseline.rate += AnswerWeight * ((isError ? 1 : 0) - baseline.rate);
     }
 }
 
-auto isConvincing(const ErrorEvidence &evidence) -> bool
+auto isConclusive(const ErrorEvidence &evidence) -> bool
 {
-    return evidence.logOdds >= ConvincingLogOdds;
+    return evidence.logOdds >= ConclusiveLogOdds;
 }
 
 auto isSuspected(const ErrorEvidence &evidence) -> bool
@@ -43,7 +43,7 @@
     return evidence.logOdds >= SuspectedLogOdds;
 }
 
-auto suspectStrongly(ErrorEvidence &evidence) -> void
+auto markStronglySuspected(ErrorEvidence &evidence) -> void
 {
     evidence.logOdds = StrongLogOdds;
 }
--- a/src/core/passthrough/errorevidence.h
+++ b/src/core/passthrough/errorevidence.h
@@ -11,8 +11,8 @@
 {
 
 /// Part of a route's requests that fail wherever they go.
-struct UsualErrors {
-    double part = 0.1; ///< at first, nothing being known; moves with each answer of a server that is not suspected
+struct BaselineErrorRate {
+    double rate = 0.1; ///< at first, nothing being known; moves with each answer of a server that is not suspected
 };
 
 /// Logarithm of the odds that a server is bad, never below 0.
@@ -20,13 +20,13 @@
     double logOdds = 0;
 };
 
-auto noteAnswer(ErrorEvidence &evidence, UsualErrors &usual, bool isError) -> void;
+auto recordAnswer(ErrorEvidence &evidence, BaselineErrorRate &baseline, bool isError) -> void;
 
 /// Enough to stop using the server.
-auto isConvincing(const ErrorEvidence &evidence) -> bool;
+auto isConclusive(const ErrorEvidence &evidence) -> bool;
 /// Enough to use it carefully: one request at a time.
 auto isSuspected(const ErrorEvidence &evidence) -> bool;
 /// The next error convinces.
-auto suspectStrongly(ErrorEvidence &evidence) -> void;
+auto markStronglySuspected(ErrorEvidence &evidence) -> void;
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/internal/candidate.cpp
+++ b/src/core/passthrough/internal/candidate.cpp
@@ -55,14 +55,14 @@
     if (!isLimited(server.limit)) {
         return true;
     }
-    const auto own = sentWithinWindow(server.limit, now);
-    const LimitShare share{
+    const auto own = sendsWithinWindow(server.limit, now);
+    const LimitUsage share{
         .entries = query.entryNamesKnown ? query.entries : 0,
         .peersKnown = query.peersKnown,
         .sent = own + (query.peersKnown ? server.peerLoad.sentLately : 0),
         .leavesReserve = query.leavesReserve,
     };
-    return mayTake(server.limit, share, now);
+    return maySend(server.limit, share, now);
 }
 
 } // namespace
--- a/src/core/passthrough/internal/dispatching.cpp
+++ b/src/core/passthrough/internal/dispatching.cpp
@@ -104,7 +104,7 @@
     recordSend(state.servers, server, placement.load, expectedStart(state, request, placement), state.now);
     if (isEngine) {
         noteUnread(state.pools[request.service], placement.load.unreadTokens);
-        notePrompt(state.servers, server, request.call.prompt, state.now);
+        recordPromptSent(state.servers, server, request.call.prompt, state.now);
     }
     actions.emplace_back(Send{
         .request = request.call.request,
@@ -152,7 +152,7 @@
 /// Whether most other entries told what they have in flight.
 auto knowsPeers(const RouterState &state) -> bool
 {
-    return state.servers.usesFleetReport || 2 * entriesHeard(state.servers) + 1 >= state.entries;
+    return state.servers.usesFleetReport || 2 * reportingEntries(state.servers) + 1 >= state.entries;
 }
 
 auto strainOf(const Pool &pool, const Request &request) -> const Strain &
@@ -172,8 +172,8 @@
     const auto ownReading = prefillTime(request.call.prompt.tokens, state.pools.at(request.service).speed);
     const auto own = std::min(ownReading, scaled(target, MostOwnPart));
     const auto left = scaled(target, OnTimePart) - (state.now - request.arrived) - own;
-    const auto least = std::min(scaled(target, LatePart), scaled(LongestAhead, LeastAheadPart));
-    const auto most = scaled(LongestAhead, aheadUnder(strainOf(state.pools.at(request.service), request))) + MoreAheadForTier * request.lessUrgentTiers;
+    const auto least = std::min(scaled(target, LatePart), scaled(LongestAhead, MinQueuedWorkFactor));
+    const auto most = scaled(LongestAhead, queuedWorkFactor(strainOf(state.pools.at(request.service), request))) + MoreAheadForTier * request.lessUrgentTiers;
     return request.late ? least : std::clamp(left, least, most);
 }
 
@@ -199,7 +199,7 @@
 auto unseenRequests(const RouterState &state, const std::string &service) -> double
 {
     const auto perSecond
-        = knowsPeers(state) ? arrivalsOfOthers(state.servers, service) : rateAt(state.pools.at(service).arrivals, state.now) * (state.entries - 1);
+        = knowsPeers(state) ? peerArrivalRate(state.servers, service) : rateAt(state.pools.at(service).arrivals, state.now) * (state.entries - 1);
     return perSecond * std::chrono::duration<double>(reportAgeOf(state)).count();
 }
 
@@ -232,7 +232,7 @@
         .leavesReserve = request.hasMoreUrgentTiers,
         // short prompts that pile up make answers pause, so for them all counts that was told
         .reportAge = isShort(request.call.prompt) ? Duration::zero() : reportAgeOf(state),
-        .admissionFactor = releasesUnder(strainOf(pool, request)),
+        .admissionFactor = releaseFactor(strainOf(pool, request)),
         .unreportedTokens = unseen * pool.unreadEach,
         .maxQueueTime = request.route->hasPrompt ? std::optional(mostAheadOf(state, request)) : std::nullopt,
         .tieBreak = request.tieBreak,
--- a/src/core/passthrough/internal/ending.cpp
+++ b/src/core/passthrough/internal/ending.cpp
@@ -79,8 +79,8 @@
 
 auto judgeAnswer(RouterState &state, const Request &request, ServerState &server, std::optional<Failure> failure) -> void
 {
-    noteAnswer(server.errorEvidence, state.usualErrors[request.route->name], failure.has_value());
-    if (failure && isConvincing(server.errorEvidence)) {
+    recordAnswer(server.errorEvidence, state.usualErrors[request.route->name], failure.has_value());
+    if (failure && isConclusive(server.errorEvidence)) {
         eject(state.servers, server, !looksLikeCrash(*failure), state.now);
     }
 }
@@ -90,8 +90,8 @@
     const auto *service = request.table->findService(request.service);
     const auto each = service == nullptr ? 1 : service->tokensPerEvent;
     return {
-        .begunAt = now,
-        .likelyEvents = request.call.prompt.likelyTokens / each,
+        .startedAt = now,
+        .expectedEvents = request.call.prompt.likelyTokens / each,
         .deadline = request.deadline,
         .longestPause = request.route->longestPause,
     };
@@ -268,7 +268,7 @@
     const auto found = state.requests.find(attempt->request);
     if (found != state.requests.end() && found->second.route->hasPrompt) {
         attempt->pace.events += event.events;
-        noteEvents(state.pools[found->second.service].strain[attempt->load.isShort ? 1 : 0], event.events, isStrained(attempt->pace, state.now));
+        recordEvents(state.pools[found->second.service].strain[attempt->load.isShort ? 1 : 0], event.events, isStrained(attempt->pace, state.now));
     }
 }
 
--- a/src/core/passthrough/internal/promptreuse.cpp
+++ b/src/core/passthrough/internal/promptreuse.cpp
@@ -35,7 +35,7 @@
         return source;
     }
     for (const auto &server : servers) {
-        const auto tokens = isUsable(*server, now) ? readPrefix(server->cache, *query.prompt, now) : 0;
+        const auto tokens = isUsable(*server, now) ? processedPrefixTokens(server->cache, *query.prompt, now) : 0;
         if (tokens > source.tokens) {
             source = { .server = server, .tokens = tokens };
         }
@@ -45,7 +45,7 @@
 
 auto reuseAt(const ServerState &server, const Prompt &prompt, const CopySource &source, TimePoint now) -> PromptReuse
 {
-    const auto cached = heldPrefix(server.cache, prompt, now);
+    const auto cached = cachedPrefixTokens(server.cache, prompt, now);
     const auto fetched = source.tokens > cached + MinFetchedTokens ? source.tokens - cached : 0;
     return { .cachedTokens = cached, .fetchedTokens = fetched, .unreadTokens = prompt.tokens - cached - fetched };
 }
--- a/src/core/passthrough/internal/state.h
+++ b/src/core/passthrough/internal/state.h
@@ -117,9 +117,9 @@
     std::map<std::string, Pool> pools; ///< by service
     std::set<Due> due;                 ///< when a request must be looked at
     std::unordered_map<Fingerprint, CrashRecord> crashes;
-    std::unordered_map<std::string, Duration> longestDeadlines; ///< that callers gave, by route
-    std::unordered_map<std::string, UsualErrors> usualErrors;   ///< by route
-    std::uint64_t seed = 0;                                     ///< of this entry's tie-breaks
+    std::unordered_map<std::string, Duration> longestDeadlines;     ///< that callers gave, by route
+    std::unordered_map<std::string, BaselineErrorRate> usualErrors; ///< by route
+    std::uint64_t seed = 0;                                         ///< of this entry's tie-breaks
     std::uint64_t lastOrder = 0;
     std::uint64_t lastAttempt = 0;
 };
--- a/src/core/passthrough/peerreports.cpp
+++ b/src/core/passthrough/peerreports.cpp
@@ -15,7 +15,7 @@
 {
 
 /// A report is sent several times a second; after this time the peer has stopped or cannot reach us.
-constexpr Duration PeerReportAge = std::chrono::milliseconds(1500);
+constexpr Duration MaxPeerReportAge = std::chrono::milliseconds(1500);
 
 auto addUse(ServerLoad &work, const PeerReported::Use &use) -> void
 {
@@ -27,7 +27,7 @@
     work.sentLately += use.sentLately;
 }
 
-auto workOf(const PeerReported::Use &use) -> ServerLoad
+auto loadFrom(const PeerReported::Use &use) -> ServerLoad
 {
     ServerLoad work;
     addUse(work, use);
@@ -52,15 +52,15 @@
 }
 
 /// A sum that holds this much fewer entries than the one before is one of an entry that hears only some of them.
-constexpr double LeastPartOfEntries = 0.95;
+constexpr double MinEntryShare = 0.95;
 /// Once the sum before is older than this it is replaced all the same: the entries may be gone.
-constexpr Duration SumAge = std::chrono::milliseconds(350);
+constexpr Duration MaxSumAge = std::chrono::milliseconds(350);
 
 /// Failure: several entries sum up, one of them hears only a part of the fleet, and its sum comes later. Symptom: engines are taken for
 /// nearly idle, and get three times the work that they can do.
 auto replaces(const PeerReported &sum, const ServerTable::ReceivedReport &held, TimePoint now) -> bool
 {
-    return sum.entries >= LeastPartOfEntries * held.report.entries || now - held.receivedAt > SumAge;
+    return sum.entries >= MinEntryShare * held.report.entries || now - held.receivedAt > MaxSumAge;
 }
 
 /// The entries of a failure domain whose sum is known are in that sum.
@@ -86,16 +86,16 @@
     }
 }
 
-auto countEntries(const ServerTable &table, ReportScope scope) -> std::uint32_t
+auto countReportedEntries(const ServerTable &table, ReportScope scope) -> std::uint32_t
 {
     std::uint32_t entries = 0;
     forEachReport(table, scope, [&entries](const PeerReported &report) { entries += report.scope == ReportScope::Entry ? 1 : report.entries; });
     return entries;
 }
 
-auto prefersTotals(const ServerTable &table) -> bool
+auto prefersFleetReport(const ServerTable &table) -> bool
 {
-    return table.fleetReport && table.fleetReport->report.entries > entriesHeard(table) + 1;
+    return table.fleetReport && table.fleetReport->report.entries > reportingEntries(table) + 1;
 }
 
 auto addUses(ServerTable &table, const PeerReported &report) -> void
@@ -116,28 +116,28 @@
 {
     for (const auto &use : report.uses) {
         if (const auto server = findServer(table, use.server)) {
-            server->peerLoad = without(server->peerLoad, workOf(use));
+            server->peerLoad = without(server->peerLoad, loadFrom(use));
         }
     }
 }
 
 /// Parts smaller than this are read again in less time than a report of them is worth.
-constexpr std::uint32_t LeastToldTokens = 512;
+constexpr std::uint32_t MinReportedTokens = 512;
 
 /// Datagrams get lost now and then, so each use of a cache is told in two reports, and in two sums or by two hubs.
-constexpr Duration SentWindow = 2 * ReportInterval;
+constexpr Duration ReportedSendWindow = 2 * ReportInterval;
 
 /// Failure: what one failure domain told goes back to it as another one's. Symptom: parts are told for ever, and datagrams grow with
 /// all that was ever sent. So a sum tells the parts of those whose requests it counts.
-auto partsToTell(const ServerState &server, ReportScope scope, TimePoint now) -> std::vector<PromptPart>
+auto partsForReport(const ServerState &server, ReportScope scope, TimePoint now) -> std::vector<PromptPart>
 {
     std::vector<PromptPart> parts;
-    addSentWithin(server.ownSentParts, SentWindow, now, parts);
+    appendSentWithin(server.ownSentParts, ReportedSendWindow, now, parts);
     if (scope != ReportScope::Entry) {
-        addSentWithin(server.peerSentParts, SentWindow, now, parts);
+        appendSentWithin(server.peerSentParts, ReportedSendWindow, now, parts);
     }
     if (scope == ReportScope::Fleet) {
-        addSentWithin(server.domainSentParts, SentWindow, now, parts);
+        appendSentWithin(server.domainSentParts, ReportedSendWindow, now, parts);
     }
     return parts;
 }
@@ -152,27 +152,27 @@
         .heldTokens = work.heldTokens,
         .waitingTokens = work.waitingTokens,
         .shortPrompts = work.shortPrompts,
-        .ejectedFor = scope == ReportScope::Entry ? ownEjectionLeft(server, now) : ejectionLeft(server, now),
+        .ejectedFor = scope == ReportScope::Entry ? remainingOwnEjection(server, now) : remainingEjection(server, now),
         .limit = limitForReport(server, scope, now),
         .sentLately = work.sentLately,
-        .sent = partsToTell(server, scope, now),
+        .sent = partsForReport(server, scope, now),
     };
 }
 
-auto isNews(const PeerReported::Use &use) -> bool
+auto isReportable(const PeerReported::Use &use) -> bool
 {
     return use.inFlight > 0 || use.waitingTokens > 0 || use.ejectedFor > Duration::zero() || use.limit || use.sentLately > 0 || !use.sent.empty();
 }
 
 /// Servers that a sum names: as many as go into one datagram. One with a limit takes half as much again.
-constexpr std::size_t MostSummedServers = 200;
+constexpr std::size_t MaxSummedServers = 200;
 
 /// Failure: a sum of thousands of servers is longer than a datagram and gets lost as a whole. Symptom: entries know only what they send
 /// themselves. The servers with least work are left out; they are believed idle, which is nearly true.
 auto keepBusiest(std::vector<PeerReported::Use> &uses) -> void
 {
     const auto limited = static_cast<std::size_t>(std::count_if(uses.begin(), uses.end(), [](const PeerReported::Use &use) { return use.limit.has_value(); }));
-    const auto named = std::max(MostSummedServers - std::min(limited / 2, MostSummedServers), MostSummedServers * 2 / 3);
+    const auto named = std::max(MaxSummedServers - std::min(limited / 2, MaxSummedServers), MaxSummedServers * 2 / 3);
     if (uses.size() <= named) {
         return;
     }
@@ -189,25 +189,25 @@
 }
 
 /// A shared part was sent there, or is there: believed from now on, and told to the other entries.
-auto noteOwnUse(ServerTable &table, ServerState &server, const PromptPart &part, TimePoint now) -> void
+auto recordOwnUse(ServerTable &table, ServerState &server, const PromptPart &part, TimePoint now) -> void
 {
-    noteUse(server.cache, part, capacityOf(table, server), now);
-    if (part.tokens >= LeastToldTokens) {
+    recordUse(server.cache, part, capacityOf(table, server), now);
+    if (part.tokens >= MinReportedTokens) {
         markReportable(table, server);
-        noteSent(server.ownSentParts, part, now);
+        recordSentPart(server.ownSentParts, part, now);
     }
 }
 
 } // namespace
 
-auto entriesHeard(const ServerTable &table) -> std::uint32_t
+auto reportingEntries(const ServerTable &table) -> std::uint32_t
 {
-    return countEntries(table, ReportScope::Fleet);
+    return countReportedEntries(table, ReportScope::Fleet);
 }
 
-auto recountPeers(ServerTable &table) -> void
+auto rebuildPeerLoads(ServerTable &table) -> void
 {
-    table.usesFleetReport = prefersTotals(table);
+    table.usesFleetReport = prefersFleetReport(table);
     for (const auto &server : std::exchange(table.serversWithPeerLoad, {})) {
         server->peerLoad = {};
         server->hasPeerLoad = false;
@@ -241,7 +241,7 @@
 
 } // namespace
 
-auto arrivalsOfOthers(const ServerTable &table, const std::string &service) -> double
+auto peerArrivalRate(const ServerTable &table, const std::string &service) -> double
 {
     if (!table.usesFleetReport) {
         return sumArrivals(table, service, ReportScope::Fleet);
@@ -250,7 +250,7 @@
     return std::max(0.0, arrivalsIn(table.fleetReport->report, service) - (own == table.ownArrivalRates.end() ? 0 : own->second));
 }
 
-auto takeReport(ServerTable &table, const std::string &entry, TimePoint now) -> PeerReported
+auto makeEntryReport(ServerTable &table, const std::string &entry, TimePoint now) -> PeerReported
 {
     PeerReported report{ .entry = entry, .failureDomain = table.failureDomain };
     for (const auto &[service, perSecond] : table.ownArrivalRates) {
@@ -258,11 +258,11 @@
     }
     for (auto each = table.reportableServers.begin(); each != table.reportableServers.end();) {
         auto &server = *each->second;
-        server.ownLoad.sentLately = sentWithinWindow(server.limit, now);
+        server.ownLoad.sentLately = sendsWithinWindow(server.limit, now);
         server.reportedLoad = server.ownLoad;
         auto use = makeUse(server, server.ownLoad, ReportScope::Entry, now);
         const auto isListed = findServer(table, each->first) == each->second;
-        if (!isListed || !isNews(use)) {
+        if (!isListed || !isReportable(use)) {
             each = table.reportableServers.erase(each);
             continue;
         }
@@ -276,15 +276,15 @@
 {
 
 /// Own work with that of the entries that told this one; by server, those that anybody uses.
-auto sumWork(const ServerTable &table, ReportScope scope, TimePoint now) -> std::map<std::string_view, ServerLoad>
+auto sumLoads(const ServerTable &table, ReportScope scope, TimePoint now) -> std::map<std::string_view, ServerLoad>
 {
     std::map<std::string_view, ServerLoad> sum;
     for (const auto &[id, server] : table.byId) {
         const auto isUsed = server->ownLoad.inFlight > 0 || server->ownLoad.waitingTokens > 0;
         const auto isTold = !server->ownSentParts.sent.empty() || !server->peerSentParts.sent.empty() || !server->domainSentParts.sent.empty();
-        if (isUsed || isTold || ejectionLeft(*server, now) > Duration::zero() || limitForReport(*server, scope, now)) {
+        if (isUsed || isTold || remainingEjection(*server, now) > Duration::zero() || limitForReport(*server, scope, now)) {
             auto &work = sum[id] = server->ownLoad;
-            work.sentLately = sentWithinWindow(server->limit, now);
+            work.sentLately = sendsWithinWindow(server->limit, now);
         }
     }
     forEachReport(table, scope, [&sum](const PeerReported &report) {
@@ -298,17 +298,17 @@
 
 } // namespace
 
-auto takeSum(const ServerTable &table, const std::string &entry, ReportScope scope, TimePoint now) -> PeerReported
+auto makeSumReport(const ServerTable &table, const std::string &entry, ReportScope scope, TimePoint now) -> PeerReported
 {
     PeerReported report{ .entry = entry, .failureDomain = table.failureDomain, .scope = scope };
     for (const auto &[service, perSecond] : table.ownArrivalRates) {
         report.arrivals.push_back({ .service = service, .perSecond = perSecond + sumArrivals(table, service, scope) });
     }
-    report.entries += countEntries(table, scope);
-    for (const auto &[id, work] : sumWork(table, scope, now)) {
+    report.entries += countReportedEntries(table, scope);
+    for (const auto &[id, work] : sumLoads(table, scope, now)) {
         const auto server = findServer(table, id);
         auto use = makeUse(*server, work, scope, now);
-        if (isNews(use)) {
+        if (isReportable(use)) {
             report.uses.push_back(std::move(use));
         }
     }
@@ -319,7 +319,7 @@
 namespace
 {
 
-auto noteNews(ServerTable &table, const PeerReported &report, TimePoint now) -> void
+auto applyServerUpdates(ServerTable &table, const PeerReported &report, TimePoint now) -> void
 {
     for (const auto &use : report.uses) {
         const auto server = findServer(table, use.server);
@@ -327,15 +327,15 @@
             continue;
         }
         if (use.ejectedFor > Duration::zero()) {
-            hearEjection(table, *server, now + use.ejectedFor, now);
+            applyPeerEjection(table, *server, now + use.ejectedFor, now);
         }
         if (use.limit) {
             applyPeerLimit(table, *server, { .perSecond = use.limit->perSecond, .at = now - use.limit->age }, report.scope);
         }
         for (const auto &part : use.sent) {
-            noteUse(server->cache, part, capacityOf(table, *server), now);
+            recordUse(server->cache, part, capacityOf(table, *server), now);
             if (report.scope != ReportScope::Fleet) {
-                noteSent(report.scope == ReportScope::Entry ? server->peerSentParts : server->domainSentParts, part, now);
+                recordSentPart(report.scope == ReportScope::Entry ? server->peerSentParts : server->domainSentParts, part, now);
             }
         }
     }
@@ -343,14 +343,14 @@
 
 } // namespace
 
-auto noteCacheListed(ServerTable &table, const CacheListed &listed, TimePoint now) -> void
+auto applyCacheListing(ServerTable &table, const CacheListed &listed, TimePoint now) -> void
 {
     const auto server = findServer(table, listed.server);
     if (!server) {
         return;
     }
     for (const auto &part : listed.parts) {
-        noteOwnUse(table, *server, part, now);
+        recordOwnUse(table, *server, part, now);
     }
 }
 
@@ -358,7 +358,7 @@
 {
 
 /// Only what changed is counted: an entry that sums up hears a thousand reports a second.
-auto takeEntryReport(ServerTable &table, const PeerReported &report, TimePoint now) -> void
+auto applyEntryReport(ServerTable &table, const PeerReported &report, TimePoint now) -> void
 {
     auto &held = table.entryReports[report.entry];
     const auto isInOthers = [&table](const PeerReported &each) { return !table.usesFleetReport && isCounted(table, each); };
@@ -369,12 +369,12 @@
     if (isInOthers(held.report)) {
         addUses(table, held.report);
     }
-    if (table.usesFleetReport != prefersTotals(table)) {
-        recountPeers(table);
+    if (table.usesFleetReport != prefersFleetReport(table)) {
+        rebuildPeerLoads(table);
     }
 }
 
-auto takeDomainSum(ServerTable &table, const PeerReported &report, TimePoint now) -> void
+auto applyDomainSum(ServerTable &table, const PeerReported &report, TimePoint now) -> void
 {
     if (report.failureDomain == table.failureDomain) {
         return;
@@ -382,30 +382,30 @@
     const auto found = table.domainReports.find(report.failureDomain);
     if (found == table.domainReports.end() || replaces(report, found->second, now)) {
         table.domainReports[report.failureDomain] = { .report = report, .receivedAt = now };
-        recountPeers(table);
+        rebuildPeerLoads(table);
     }
 }
 
 } // namespace
 
-auto notePeerReport(ServerTable &table, const PeerReported &report, TimePoint now) -> void
+auto applyPeerReport(ServerTable &table, const PeerReported &report, TimePoint now) -> void
 {
-    noteNews(table, report, now);
+    applyServerUpdates(table, report, now);
     if (report.isRest) {
         return;
     }
     table.reportCount += 1;
     switch (report.scope) {
     case ReportScope::Entry:
-        takeEntryReport(table, report, now);
+        applyEntryReport(table, report, now);
         break;
     case ReportScope::FailureDomain:
-        takeDomainSum(table, report, now);
+        applyDomainSum(table, report, now);
         break;
     case ReportScope::Fleet:
         if (!table.fleetReport || replaces(report, *table.fleetReport, now)) {
             table.fleetReport = ServerTable::ReceivedReport{ .report = report, .receivedAt = now };
-            recountPeers(table);
+            rebuildPeerLoads(table);
         }
         break;
     }
@@ -413,7 +413,7 @@
 
 auto expirePeerReports(ServerTable &table, TimePoint now) -> void
 {
-    const auto isOld = [now](const ServerTable::ReceivedReport &use) { return now - use.receivedAt > PeerReportAge; };
+    const auto isOld = [now](const ServerTable::ReceivedReport &use) { return now - use.receivedAt > MaxPeerReportAge; };
     auto expired = std::erase_if(table.entryReports, [&](const auto &item) { return isOld(item.second); });
     expired += std::erase_if(table.domainReports, [&](const auto &item) { return isOld(item.second); });
     const auto totalIsOld = table.fleetReport && isOld(*table.fleetReport);
@@ -421,14 +421,14 @@
         table.fleetReport.reset();
     }
     if (expired > 0 || totalIsOld) {
-        recountPeers(table);
+        rebuildPeerLoads(table);
     }
 }
 
-auto notePrompt(ServerTable &table, ServerState &server, const Prompt &prompt, TimePoint now) -> void
+auto recordPromptSent(ServerTable &table, ServerState &server, const Prompt &prompt, TimePoint now) -> void
 {
     for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i) {
-        noteOwnUse(table, server, prompt.parts[i], now);
+        recordOwnUse(table, server, prompt.parts[i], now);
     }
 }
 
--- a/src/core/passthrough/peerreports.h
+++ b/src/core/passthrough/peerreports.h
@@ -18,21 +18,21 @@
 {
 
 /// Believed from now on, and told to the other entries.
-auto noteCacheListed(ServerTable &table, const CacheListed &listed, TimePoint now) -> void;
-auto notePeerReport(ServerTable &table, const PeerReported &report, TimePoint now) -> void;
+auto applyCacheListing(ServerTable &table, const CacheListed &listed, TimePoint now) -> void;
+auto applyPeerReport(ServerTable &table, const PeerReported &report, TimePoint now) -> void;
 /// This entry's own report, or the sum of its own with the fresh ones of its failure domain, or of all.
-auto takeReport(ServerTable &table, const std::string &entry, TimePoint now) -> PeerReported;
-auto takeSum(const ServerTable &table, const std::string &entry, ReportScope scope, TimePoint now) -> PeerReported;
+auto makeEntryReport(ServerTable &table, const std::string &entry, TimePoint now) -> PeerReported;
+auto makeSumReport(const ServerTable &table, const std::string &entry, ReportScope scope, TimePoint now) -> PeerReported;
 /// The servers changed: what was reported of them is summed up anew.
-auto recountPeers(ServerTable &table) -> void;
+auto rebuildPeerLoads(ServerTable &table) -> void;
 /// Requests a second for this service at the other entries, as they told.
-auto arrivalsOfOthers(const ServerTable &table, const std::string &service) -> double;
+auto peerArrivalRate(const ServerTable &table, const std::string &service) -> double;
 /// Entries whose requests this one knows of, itself not included.
-auto entriesHeard(const ServerTable &table) -> std::uint32_t;
+auto reportingEntries(const ServerTable &table) -> std::uint32_t;
 /// Forgets reports that are too old to say anything.
 auto expirePeerReports(ServerTable &table, TimePoint now) -> void;
 
 /// A prompt goes there: its shared parts, all but the last, will be in the engine's cache.
-auto notePrompt(ServerTable &table, ServerState &server, const Prompt &prompt, TimePoint now) -> void;
+auto recordPromptSent(ServerTable &table, ServerState &server, const Prompt &prompt, TimePoint now) -> void;
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/router.cpp
+++ b/src/core/passthrough/router.cpp
@@ -99,13 +99,13 @@
     auto operator()(const ServersListed &event) const -> void
     {
         applyServerList(state.servers, event, state.now);
-        recountPeers(state.servers);
+        rebuildPeerLoads(state.servers);
         detail::dispatchAll(state, actions);
     }
     auto operator()(const ServersChanged &event) const -> void
     {
         applyServerChanges(state.servers, event, state.now);
-        recountPeers(state.servers);
+        rebuildPeerLoads(state.servers);
         detail::dispatchAll(state, actions);
     }
     auto operator()(const EntriesCounted &event) const -> void
@@ -116,11 +116,11 @@
     }
     auto operator()(const PeerReported &event) const -> void
     {
-        notePeerReport(state.servers, event, state.now);
+        applyPeerReport(state.servers, event, state.now);
     }
     auto operator()(const CacheListed &event) const -> void
     {
-        noteCacheListed(state.servers, event, state.now);
+        applyCacheListing(state.servers, event, state.now);
     }
     auto operator()(const CrashesHeard &event) const -> void
     {
@@ -139,14 +139,14 @@
 auto tellChangedLimits(RouterState &state, Actions &actions) -> void
 {
     for (const auto &server : std::exchange(state.servers.changedLimits, {})) {
-        const auto &statement = statementOf(server->limit);
-        const auto sharers = limitSharers(statement.perSecond.value_or(0), state.entries);
+        const auto &statement = newestStatement(server->limit);
+        const auto sharers = allowedSenders(statement.perSecond.value_or(0), state.entries);
         actions.emplace_back(LimitChanged{
             .server = server->record.id,
             .perSecond = statement.perSecond,
             .age = state.now - statement.at,
             .sharers = statement.perSecond ? sharers : state.entries,
-            .isSharer = !statement.perSecond || server->limit.rank < sharers,
+            .isSharer = !statement.perSecond || server->limit.senderRank < sharers,
         });
     }
 }
@@ -189,12 +189,12 @@
 {
     detail::countWaiting(state);
     detail::countArrivals(state);
-    return takeReport(state.servers, state.options.entry, state.now);
+    return makeEntryReport(state.servers, state.options.entry, state.now);
 }
 
 auto takeSum(const RouterState &state, ReportScope scope) -> PeerReported
 {
-    return takeSum(state.servers, state.options.entry, scope, state.now);
+    return makeSumReport(state.servers, state.options.entry, scope, state.now);
 }
 
 auto loadOfService(const RouterState &state, const std::string &service, TimePoint now) -> ServiceLoad
--- a/src/core/passthrough/serverlimit.cpp
+++ b/src/core/passthrough/serverlimit.cpp
@@ -12,13 +12,13 @@
 /// Over which all entries together keep to the limit.
 constexpr Duration Window = RecentCount::Longest;
 /// Within which an entry keeps to its own part: longer than reports of others take, also in a large fleet.
-constexpr Duration OwnWindow = std::chrono::seconds(1);
+constexpr Duration OwnShareWindow = std::chrono::seconds(1);
 
 /// Entries that share a limit of nothing: one of them may be down or without demand.
-constexpr double LeastSharers = 2;
+constexpr double MinSenders = 2;
 
 /// Part of the limit that requests may use if there are more urgent tiers: a request of these finds room at once.
-constexpr double PartWithReserve = 0.75;
+constexpr double ShareWithReserve = 0.75;
 
 auto seconds(Duration duration) -> double
 {
@@ -33,20 +33,20 @@
 
 } // namespace
 
-auto statementOf(const ServerLimit &limit) -> const LimitStatement &
+auto newestStatement(const ServerLimit &limit) -> const LimitStatement &
 {
     const auto isOlder = [](const LimitStatement *a, const LimitStatement *b) { return a->at < b->at; };
-    return *std::max({ &limit.own, &limit.ofEntries, &limit.ofDomains, &limit.ofAll }, isOlder);
+    return *std::max({ &limit.own, &limit.fromEntries, &limit.fromDomains, &limit.fromFleet }, isOlder);
 }
 
 auto isLimited(const ServerLimit &limit) -> bool
 {
-    return statementOf(limit).perSecond.has_value();
+    return newestStatement(limit).perSecond.has_value();
 }
 
-auto noteStated(ServerLimit &limit, std::optional<double> perSecond, TimePoint sentAt, TimePoint now) -> bool
+auto updateOwnStatement(ServerLimit &limit, std::optional<double> perSecond, TimePoint sentAt, TimePoint now) -> bool
 {
-    const auto before = statementOf(limit);
+    const auto before = newestStatement(limit);
     if (!perSecond && (!before.perSecond || sentAt < before.at)) {
         return false;
     }
@@ -54,34 +54,34 @@
     return perSecond != before.perSecond;
 }
 
-auto sentWithinWindow(const ServerLimit &limit, TimePoint now) -> std::uint32_t
+auto sendsWithinWindow(const ServerLimit &limit, TimePoint now) -> std::uint32_t
 {
-    return isLimited(limit) ? countWithin(limit.sent, Window, now) : 0;
+    return isLimited(limit) ? countWithin(limit.ownSends, Window, now) : 0;
 }
 
-auto limitSharers(double perSecond, std::uint32_t entries) -> std::uint32_t
+auto allowedSenders(double perSecond, std::uint32_t entries) -> std::uint32_t
 {
-    const auto few = LeastSharers + std::floor(std::max(perSecond, 0.0));
+    const auto few = MinSenders + std::floor(std::max(perSecond, 0.0));
     // Lists of entries may differ for a moment, and then twice as many send. With no more entries than that there is nobody to leave out.
     return entries <= 2 * few ? entries : static_cast<std::uint32_t>(few);
 }
 
-auto mayTake(const ServerLimit &limit, const LimitShare &share, TimePoint now) -> bool
+auto maySend(const ServerLimit &limit, const LimitUsage &share, TimePoint now) -> bool
 {
-    const auto perSecond = statementOf(limit).perSecond;
+    const auto perSecond = newestStatement(limit).perSecond;
     if (!perSecond) {
         return true;
     }
-    const auto sharers = limitSharers(*perSecond, share.entries);
-    if (share.entries == 0 || limit.rank >= sharers) {
+    const auto sharers = allowedSenders(*perSecond, share.entries);
+    if (share.entries == 0 || limit.senderRank >= sharers) {
         return false;
     }
     const auto ownPart = *perSecond / sharers;
-    if (countWithin(limit.sent, OwnWindow, now) + 1 > requestsWithin(ownPart, OwnWindow)) {
+    if (countWithin(limit.ownSends, OwnShareWindow, now) + 1 > requestsWithin(ownPart, OwnShareWindow)) {
         return false;
     }
     const auto allowed = share.peersKnown ? *perSecond : ownPart;
-    const auto usable = allowed * (share.leavesReserve ? PartWithReserve : 1);
+    const auto usable = allowed * (share.leavesReserve ? ShareWithReserve : 1);
     return share.sent + 1 <= requestsWithin(usable, Window);
 }
 
--- a/src/core/passthrough/serverlimit.h
+++ b/src/core/passthrough/serverlimit.h
@@ -29,29 +29,29 @@
     /// By the way in which it was heard. An entry passes on what it heard from its own answers and, where it sums up, from those that
     /// it sums up: passed on by everyone, a statement would return with a later time and never be outdated.
     /// @{
-    LimitStatement own;       ///< from answers to this entry
-    LimitStatement ofEntries; ///< from entries, by their reports
-    LimitStatement ofDomains; ///< from sums of other failure domains
-    LimitStatement ofAll;     ///< from sums of all entries
+    LimitStatement own;         ///< from answers to this entry
+    LimitStatement fromEntries; ///< from entries, by their reports
+    LimitStatement fromDomains; ///< from sums of other failure domains
+    LimitStatement fromFleet;   ///< from sums of all entries
     /// @}
-    std::uint32_t rank = 0; ///< of this entry among those that may send there, 0 first
-    RecentCount sent;       ///< by this entry, while there was a limit
+    std::uint32_t senderRank = 0; ///< of this entry among those that may send there, 0 first
+    RecentCount ownSends;         ///< by this entry, while there was a limit
 };
 
 /// The newest statement.
-auto statementOf(const ServerLimit &limit) -> const LimitStatement &;
+auto newestStatement(const ServerLimit &limit) -> const LimitStatement &;
 auto isLimited(const ServerLimit &limit) -> bool;
 
 /// Takes an own answer in. \p sentAt: of the request. An answer without a limit ends one only if its request was sent after the limit
 /// was stated: answers that overtake each other would end it for a moment.
 /// \return whether the limit is another one now
-auto noteStated(ServerLimit &limit, std::optional<double> perSecond, TimePoint sentAt, TimePoint now) -> bool;
+auto updateOwnStatement(ServerLimit &limit, std::optional<double> perSecond, TimePoint sentAt, TimePoint now) -> bool;
 
 /// Requests that this entry sent within the window that counts; 0 without a limit.
-auto sentWithinWindow(const ServerLimit &limit, TimePoint now) -> std::uint32_t;
+auto sendsWithinWindow(const ServerLimit &limit, TimePoint now) -> std::uint32_t;
 
 /// What an entry knows of the others that keep to the limit.
-struct LimitShare {
+struct LimitUsage {
     std::uint32_t entries = 1;  ///< alive, this one included; 0: not known
     bool peersKnown = false;    ///< most of them told what they sent
     std::uint32_t sent = 0;     ///< by all, this one included, within the window that counts
@@ -59,9 +59,9 @@
 };
 
 /// Entries that may send to a server with this limit.
-auto limitSharers(double perSecond, std::uint32_t entries) -> std::uint32_t;
+auto allowedSenders(double perSecond, std::uint32_t entries) -> std::uint32_t;
 
 /// Whether this entry may send one more request there now. Always, without a limit.
-auto mayTake(const ServerLimit &limit, const LimitShare &share, TimePoint now) -> bool;
+auto maySend(const ServerLimit &limit, const LimitUsage &share, TimePoint now) -> bool;
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/servertable.cpp
+++ b/src/core/passthrough/servertable.cpp
@@ -181,7 +181,7 @@
 
 auto handleLimitChange(ServerTable &table, ServerState &server) -> void
 {
-    server.limit.rank = senderRankOf(table, server);
+    server.limit.senderRank = senderRankOf(table, server);
     countLimited(table);
     if (auto known = findServer(table, server.record.id)) {
         table.changedLimits.push_back(std::move(known));
@@ -192,13 +192,13 @@
 {
     switch (scope) {
     case ReportScope::Entry:
-        return limit.ofEntries;
+        return limit.fromEntries;
     case ReportScope::FailureDomain:
-        return limit.ofDomains;
+        return limit.fromDomains;
     case ReportScope::Fleet:
         break;
     }
-    return limit.ofAll;
+    return limit.fromFleet;
 }
 
 } // namespace
@@ -209,14 +209,14 @@
     std::transform(names.begin(), names.end(), std::back_inserter(table.entryNameHashes), hashOf);
     for (const auto &[id, server] : table.byId) {
         if (isLimited(server->limit)) {
-            server->limit.rank = senderRankOf(table, *server);
+            server->limit.senderRank = senderRankOf(table, *server);
         }
     }
 }
 
 auto recordLimitStatement(ServerTable &table, ServerState &server, std::optional<double> perSecond, TimePoint sentAt, TimePoint now) -> void
 {
-    const auto isChanged = noteStated(server.limit, perSecond, sentAt, now);
+    const auto isChanged = updateOwnStatement(server.limit, perSecond, sentAt, now);
     if (limitForReport(server, ReportScope::Entry, now)) {
         markReportable(table, server);
     }
@@ -228,11 +228,11 @@
 auto applyPeerLimit(ServerTable &table, ServerState &server, const LimitStatement &statement, ReportScope scope) -> void
 {
     auto &known = statementForScope(server.limit, scope);
-    const auto before = statementOf(server.limit).perSecond;
+    const auto before = newestStatement(server.limit).perSecond;
     if (statement.at > known.at) {
         known = statement;
     }
-    if (statementOf(server.limit).perSecond != before) {
+    if (newestStatement(server.limit).perSecond != before) {
         handleLimitChange(table, server);
     }
 }
@@ -242,13 +242,13 @@
     auto newest = server.limit.own;
     const auto take = [&newest](const LimitStatement &statement) { newest = statement.at > newest.at ? statement : newest; };
     if (scope != ReportScope::Entry) {
-        take(server.limit.ofEntries);
+        take(server.limit.fromEntries);
     }
     if (scope == ReportScope::Fleet) {
-        take(server.limit.ofDomains);
+        take(server.limit.fromDomains);
     }
-    const auto isNews = newest.perSecond ? isLimited(server.limit) : now - newest.at < LimitEndReportedFor && newest.at != TimePoint();
-    return isNews ? std::optional(PeerReported::Limit{ .perSecond = newest.perSecond, .age = now - newest.at }) : std::nullopt;
+    const auto isReportable = newest.perSecond ? isLimited(server.limit) : now - newest.at < LimitEndReportedFor && newest.at != TimePoint();
+    return isReportable ? std::optional(PeerReported::Limit{ .perSecond = newest.perSecond, .age = now - newest.at }) : std::nullopt;
 }
 
 auto shardForKey(const ServerGroup &group, std::uint64_t key) -> std::size_t
@@ -284,7 +284,7 @@
     server.ownLoad.heldTokens += load.heldTokens;
     server.ownLoad.shortPrompts += load.isShort ? 1 : 0;
     if (isLimited(server.limit)) {
-        addOne(server.limit.sent, now);
+        addOne(server.limit.ownSends, now);
     }
     server.lastSentAt = now;
     if (!server.responseDueAt) {
--- a/src/core/passthrough/servertable.h
+++ b/src/core/passthrough/servertable.h
@@ -68,9 +68,9 @@
     ServerLimit limit;
 
     EngineCache cache;
-    RecentParts ownSentParts;    ///< by this entry
-    RecentParts peerSentParts;   ///< by entries that told this one themselves
-    RecentParts domainSentParts; ///< by entries of other failure domains, as their hubs told
+    RecentlySentParts ownSentParts;    ///< by this entry
+    RecentlySentParts peerSentParts;   ///< by entries that told this one themselves
+    RecentlySentParts domainSentParts; ///< by entries of other failure domains, as their hubs told
 };
 
 using ServerPointer = std::shared_ptr<ServerState>;
--- a/src/core/passthrough/strain.h
+++ b/src/core/passthrough/strain.h
@@ -17,9 +17,9 @@
 
 /// An answer under way.
 struct AnswerPace {
-    TimePoint begunAt;
-    std::uint32_t events = 0;       ///< since the first
-    std::uint32_t likelyEvents = 0; ///< of the whole answer; 0: no guess
+    TimePoint startedAt;
+    std::uint32_t events = 0;         ///< since the first
+    std::uint32_t expectedEvents = 0; ///< of the whole answer; 0: no guess
     TimePoint deadline;
     Duration longestPause{}; ///< between two events, for full value; 0: not given
 };
@@ -29,19 +29,19 @@
 
 /// Moving average over events: the part of them whose answers were strained, 0 to 1.
 struct Strain {
-    double part = 0.1; ///< at first, nothing being known: somewhat careful, and forgotten within some sixty events
+    double share = 0.1; ///< at first, nothing being known: somewhat careful, and forgotten within some sixty events
 };
 
-auto noteEvents(Strain &strain, std::uint32_t events, bool strained) -> void;
+auto recordEvents(Strain &strain, std::uint32_t events, bool strained) -> void;
 
 /// Part of the usual work that may lie before a prompt. Less where answers suffer: an engine that has nothing to read at times gives
 /// its answers ten tokens in the time of one.
-auto aheadUnder(const Strain &strain) -> double;
+auto queuedWorkFactor(const Strain &strain) -> double;
 
-/// Least of aheadUnder().
-constexpr double LeastAheadPart = 0.4;
+/// Least of queuedWorkFactor().
+constexpr double MinQueuedWorkFactor = 0.4;
 
-/// Times the room of the engines that what waits is released by: see MostReleases. Less where answers suffer.
-auto releasesUnder(const Strain &strain) -> double;
+/// Times the room of the engines that what waits is released by: see MaxReleaseFactor. Less where answers suffer.
+auto releaseFactor(const Strain &strain) -> double;
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/tests/ejection_tests.cpp
+++ b/src/core/passthrough/tests/ejection_tests.cpp
@@ -29,15 +29,15 @@
 }
 
 /// Answers until the server is suspected so much that it is taken out of use; nothing: it never was.
-auto answersUntilConvinced(double errorPart, double usualPart, std::uint32_t seed, int most) -> std::optional<int>
+auto answersUntilConclusive(double errorRate, double baselineRate, std::uint32_t seed, int most) -> std::optional<int>
 {
     std::mt19937_64 random(seed);
-    std::bernoulli_distribution isError(errorPart);
+    std::bernoulli_distribution isError(errorRate);
     ErrorEvidence evidence;
-    UsualErrors usual{ .part = usualPart };
+    BaselineErrorRate baseline{ .rate = baselineRate };
     for (auto i = 1; i <= most; ++i) {
-        noteAnswer(evidence, usual, isError(random));
-        if (isConvincing(evidence)) {
+        recordAnswer(evidence, baseline, isError(random));
+        if (isConclusive(evidence)) {
             return i;
         }
     }
@@ -50,15 +50,15 @@
 {
     constexpr auto AFew = 3;
     constexpr auto WhereManyFailAnyway = 8;
-    EXPECT_LE(answersUntilConvinced(1, 0.02, 1, 10).value(), AFew);
-    EXPECT_LE(answersUntilConvinced(1, 0.14, 1, 10).value(), WhereManyFailAnyway);
+    EXPECT_LE(answersUntilConclusive(1, 0.02, 1, 10).value(), AFew);
+    EXPECT_LE(answersUntilConclusive(1, 0.14, 1, 10).value(), WhereManyFailAnyway);
 }
 
 TEST(EjectionTests, aServerThatFailsEachSecondRequestIsKnownToo)
 {
     constexpr auto Most = 30;
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
-        EXPECT_LE(answersUntilConvinced(0.5, 0.02, seed, 100).value(), Most) << "seed " << seed;
+        EXPECT_LE(answersUntilConclusive(0.5, 0.02, seed, 100).value(), Most) << "seed " << seed;
     }
 }
 
@@ -66,7 +66,7 @@
 TEST(EjectionTests, errorsThatBelongToTheRequestsConvinceOfNothing)
 {
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
-        EXPECT_FALSE(answersUntilConvinced(0.14, 0.14, seed, 1000)) << "seed " << seed;
+        EXPECT_FALSE(answersUntilConclusive(0.14, 0.14, seed, 1000)) << "seed " << seed;
     }
 }
 
@@ -88,8 +88,8 @@
     auto table = makeTable(4);
     auto other = makeTable(4);
     eject(table, *table.byId.at("e1"), true, Now);
-    auto report = takeReport(table, "entry-1", Now + std::chrono::milliseconds(20));
-    notePeerReport(other, report, Now + std::chrono::milliseconds(21));
+    auto report = makeEntryReport(table, "entry-1", Now + std::chrono::milliseconds(20));
+    applyPeerReport(other, report, Now + std::chrono::milliseconds(21));
     const auto &server = *other.byId.at("e1");
     EXPECT_FALSE(isUsable(server, Now + std::chrono::milliseconds(900)));
     EXPECT_TRUE(isUsable(server, Now + std::chrono::milliseconds(2100)));
@@ -101,7 +101,7 @@
 {
     auto table = makeTable(4);
     eject(table, *table.byId.at("e1"), false, Now);
-    EXPECT_TRUE(takeReport(table, "entry-1", Now).uses.empty());
+    EXPECT_TRUE(makeEntryReport(table, "entry-1", Now).uses.empty());
     EXPECT_FALSE(isUsable(*table.byId.at("e1"), Now));
 }
 
--- a/src/core/passthrough/tests/enginecache_tests.cpp
+++ b/src/core/passthrough/tests/enginecache_tests.cpp
@@ -24,28 +24,28 @@
 TEST(EngineCacheTests, aPartCountsOnlyBehindAllPartsBeforeIt)
 {
     EngineCache cache;
-    noteUse(cache, Session, 0, Now);
-    EXPECT_EQ(heldPrefix(cache, makePrompt(), Now), 0U);
-    noteUse(cache, Document, 0, Now);
-    EXPECT_EQ(heldPrefix(cache, makePrompt(), Now), 6000U) << "and the request's own part never does";
+    recordUse(cache, Session, 0, Now);
+    EXPECT_EQ(cachedPrefixTokens(cache, makePrompt(), Now), 0U);
+    recordUse(cache, Document, 0, Now);
+    EXPECT_EQ(cachedPrefixTokens(cache, makePrompt(), Now), 6000U) << "and the request's own part never does";
 }
 
 TEST(EngineCacheTests, whatWasJustSentIsHeldButNotReadYet)
 {
     EngineCache cache;
-    noteUse(cache, Document, 0, Now);
-    EXPECT_EQ(heldPrefix(cache, makePrompt(), Now), 2000U);
-    EXPECT_EQ(readPrefix(cache, makePrompt(), Now), 0U);
-    EXPECT_EQ(readPrefix(cache, makePrompt(), Now + std::chrono::seconds(1)), 2000U);
+    recordUse(cache, Document, 0, Now);
+    EXPECT_EQ(cachedPrefixTokens(cache, makePrompt(), Now), 2000U);
+    EXPECT_EQ(processedPrefixTokens(cache, makePrompt(), Now), 0U);
+    EXPECT_EQ(processedPrefixTokens(cache, makePrompt(), Now + std::chrono::seconds(1)), 2000U);
 }
 
 TEST(EngineCacheTests, aPartThatNobodyUsesForLongMayBeGone)
 {
     EngineCache cache;
-    noteUse(cache, Document, 0, Now);
-    EXPECT_FALSE(holds(cache, Document.id, Now + std::chrono::minutes(1)));
-    noteUse(cache, Document, 0, Now + std::chrono::minutes(1));
-    EXPECT_EQ(readPrefix(cache, makePrompt(), Now + std::chrono::minutes(1)), 0U) << "it is read anew";
+    recordUse(cache, Document, 0, Now);
+    EXPECT_FALSE(containsPart(cache, Document.id, Now + std::chrono::minutes(1)));
+    recordUse(cache, Document, 0, Now + std::chrono::minutes(1));
+    EXPECT_EQ(processedPrefixTokens(cache, makePrompt(), Now + std::chrono::minutes(1)), 0U) << "it is read anew";
 }
 
 /// What callers see: first events later than expected. An engine's memory yields the parts used least recently, and a part that is
@@ -53,24 +53,24 @@
 TEST(EngineCacheTests, theOldestPartsYieldWhenTheMemoryIsFull)
 {
     EngineCache cache;
-    noteUse(cache, Document, 5000, Now);
-    noteUse(cache, Session, 5000, Now + std::chrono::milliseconds(1));
-    EXPECT_FALSE(holds(cache, Document.id, Now + std::chrono::milliseconds(1)));
-    EXPECT_TRUE(holds(cache, Session.id, Now + std::chrono::milliseconds(1)));
+    recordUse(cache, Document, 5000, Now);
+    recordUse(cache, Session, 5000, Now + std::chrono::milliseconds(1));
+    EXPECT_FALSE(containsPart(cache, Document.id, Now + std::chrono::milliseconds(1)));
+    EXPECT_TRUE(containsPart(cache, Session.id, Now + std::chrono::milliseconds(1)));
     EXPECT_EQ(cache.tokens, 4000U);
 }
 
 TEST(EngineCacheTests, aPartIsToldOnceForAsLongAsItIsNews)
 {
-    RecentParts recent;
-    noteSent(recent, Document, Now);
-    noteSent(recent, Document, Now + std::chrono::milliseconds(10));
-    noteSent(recent, Session, Now + std::chrono::milliseconds(90));
+    RecentlySentParts recent;
+    recordSentPart(recent, Document, Now);
+    recordSentPart(recent, Document, Now + std::chrono::milliseconds(10));
+    recordSentPart(recent, Session, Now + std::chrono::milliseconds(90));
     std::vector<PromptPart> list;
-    addSentWithin(recent, std::chrono::milliseconds(100), Now + std::chrono::milliseconds(100), list);
+    appendSentWithin(recent, std::chrono::milliseconds(100), Now + std::chrono::milliseconds(100), list);
     EXPECT_EQ(list.size(), 2U);
     list.clear();
-    addSentWithin(recent, std::chrono::milliseconds(100), Now + std::chrono::milliseconds(150), list);
+    appendSentWithin(recent, std::chrono::milliseconds(100), Now + std::chrono::milliseconds(150), list);
     ASSERT_EQ(list.size(), 1U);
     EXPECT_EQ(list[0].id, Session.id);
 }
--- a/src/core/passthrough/tests/limitedfleet.cpp
+++ b/src/core/passthrough/tests/limitedfleet.cpp
@@ -362,7 +362,7 @@
 
 } // namespace
 
-auto playLimitedFleet(const LimitedFleetOptions &options) -> LimitedFleetResult
+auto simulateLimitedFleet(const LimitedFleetOptions &options) -> LimitedFleetResult
 {
     return LimitedFleet(options).play();
 }
--- a/src/core/passthrough/tests/limitedfleet.h
+++ b/src/core/passthrough/tests/limitedfleet.h
@@ -41,6 +41,6 @@
     std::size_t refusedAsLimited = 0;
 };
 
-auto playLimitedFleet(const LimitedFleetOptions &options) -> LimitedFleetResult;
+auto simulateLimitedFleet(const LimitedFleetOptions &options) -> LimitedFleetResult;
 
 } // namespace auburnspread::passthrough::tests
--- a/src/core/passthrough/tests/manyservers_tests.cpp
+++ b/src/core/passthrough/tests/manyservers_tests.cpp
@@ -97,8 +97,8 @@
         report.uses.push_back({ .server = "e" + std::to_string(i), .inFlight = 1, .heldTokens = static_cast<std::uint32_t>(i) });
     }
     report.uses[3].ejectedFor = std::chrono::seconds(1);
-    notePeerReport(table, report, Now);
-    const auto sum = takeSum(table, "entry-1", ReportScope::Fleet, Now);
+    applyPeerReport(table, report, Now);
+    const auto sum = makeSumReport(table, "entry-1", ReportScope::Fleet, Now);
     EXPECT_EQ(sum.uses.size(), Most);
     const auto names = [&sum](const std::string &id) {
         return std::any_of(sum.uses.begin(), sum.uses.end(), [&id](const PeerReported::Use &use) { return use.server == id; });
--- a/src/core/passthrough/tests/overload_tests.cpp
+++ b/src/core/passthrough/tests/overload_tests.cpp
@@ -138,8 +138,8 @@
     const RequestLoad load{ .unreadTokens = 3000, .heldTokens = 9000 };
     recordSend(table, server, load, Duration::zero(), now);
     recordSend(table, server, load, Duration::zero(), now);
-    takeReport(table, "entry-1", {});
-    notePeerReport(
+    makeEntryReport(table, "entry-1", {});
+    applyPeerReport(
         table, { .entry = "reader", .scope = ReportScope::Fleet, .entries = 5, .uses = { { .server = "e1", .inFlight = 10, .unreadTokens = 30'000 } } }, now);
     EXPECT_EQ(totalLoad(server).inFlight, 10U);
     EXPECT_EQ(totalLoad(server).unreadTokens, 30'000U);
@@ -182,10 +182,10 @@
 TEST(ReportTests, aSumOfFewEntriesDoesNotReplaceOneOfMany)
 {
     Told told;
-    notePeerReport(told.table, makeSum(ReportScope::Fleet, "a", 60, 12), told.now);
-    notePeerReport(told.table, makeSum(ReportScope::Fleet, "a", 20, 4), told.now + std::chrono::milliseconds(50));
+    applyPeerReport(told.table, makeSum(ReportScope::Fleet, "a", 60, 12), told.now);
+    applyPeerReport(told.table, makeSum(ReportScope::Fleet, "a", 20, 4), told.now + std::chrono::milliseconds(50));
     EXPECT_EQ(told.believed(), 12U);
-    notePeerReport(told.table, makeSum(ReportScope::Fleet, "a", 20, 4), told.now + std::chrono::milliseconds(500));
+    applyPeerReport(told.table, makeSum(ReportScope::Fleet, "a", 20, 4), told.now + std::chrono::milliseconds(500));
     EXPECT_EQ(told.believed(), 4U);
 }
 
@@ -193,8 +193,8 @@
 TEST(ReportTests, aFewReportsDoNotReplaceTheSumOfAll)
 {
     Told told;
-    notePeerReport(told.table, makeSum(ReportScope::Fleet, "a", 60, 12), told.now);
-    notePeerReport(told.table, makeSum(ReportScope::Entry, "a", 1, 2), told.now);
+    applyPeerReport(told.table, makeSum(ReportScope::Fleet, "a", 60, 12), told.now);
+    applyPeerReport(told.table, makeSum(ReportScope::Entry, "a", 1, 2), told.now);
     EXPECT_EQ(told.believed(), 12U);
 }
 
@@ -202,14 +202,14 @@
 TEST(ReportTests, whoStandsInTheSumOfItsFailureDomainCountsOnce)
 {
     Told told;
-    notePeerReport(told.table, makeSum(ReportScope::Entry, "b", 1, 2), told.now);
+    applyPeerReport(told.table, makeSum(ReportScope::Entry, "b", 1, 2), told.now);
     EXPECT_EQ(told.believed(), 2U);
-    notePeerReport(told.table, makeSum(ReportScope::FailureDomain, "b", 13, 7), told.now);
+    applyPeerReport(told.table, makeSum(ReportScope::FailureDomain, "b", 13, 7), told.now);
     EXPECT_EQ(told.believed(), 7U);
-    notePeerReport(told.table, makeSum(ReportScope::Entry, "a", 1, 3), told.now);
+    applyPeerReport(told.table, makeSum(ReportScope::Entry, "a", 1, 3), told.now);
     EXPECT_EQ(told.believed(), 10U);
-    EXPECT_EQ(takeSum(told.table, "self", ReportScope::FailureDomain, told.now).uses.at(0).inFlight, 3U);
-    EXPECT_EQ(takeSum(told.table, "self", ReportScope::Fleet, told.now).entries, 15U);
+    EXPECT_EQ(makeSumReport(told.table, "self", ReportScope::FailureDomain, told.now).uses.at(0).inFlight, 3U);
+    EXPECT_EQ(makeSumReport(told.table, "self", ReportScope::Fleet, told.now).entries, 15U);
 }
 
 /// What operators see: datagrams that grow until links are full. A part that one failure domain told came back to it as another's, was
@@ -219,7 +219,7 @@
     Told told;
     auto sum = makeSum(ReportScope::FailureDomain, "b", 13, 7);
     sum.uses[0].sent = { { .id = 77, .tokens = 5000 } };
-    notePeerReport(told.table, sum, told.now);
-    EXPECT_TRUE(takeSum(told.table, "self", ReportScope::FailureDomain, told.now).uses.empty());
-    EXPECT_EQ(takeSum(told.table, "self", ReportScope::Fleet, told.now).uses.at(0).sent.size(), 1U);
+    applyPeerReport(told.table, sum, told.now);
+    EXPECT_TRUE(makeSumReport(told.table, "self", ReportScope::FailureDomain, told.now).uses.empty());
+    EXPECT_EQ(makeSumReport(told.table, "self", ReportScope::Fleet, told.now).uses.at(0).sent.size(), 1U);
 }
--- a/src/core/passthrough/tests/placement_tests.cpp
+++ b/src/core/passthrough/tests/placement_tests.cpp
@@ -34,7 +34,7 @@
 auto cacheSharedParts(ServerState &engine, const Prompt &prompt) -> void
 {
     for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i) {
-        noteUse(engine.cache, prompt.parts[i], 0, Now - std::chrono::seconds(2));
+        recordUse(engine.cache, prompt.parts[i], 0, Now - std::chrono::seconds(2));
     }
 }
 
@@ -109,7 +109,7 @@
     engines[1]->peerLoad.unreadTokens = 100'000;
     const PlacementQuery query{ .prompt = &quote, .fetchTokensPerMs = 176 };
     for (std::size_t i = 0; i + 1 < quote.parts.size(); ++i) {
-        noteUse(engines[1]->cache, quote.parts[i], 0, Now - std::chrono::milliseconds(100));
+        recordUse(engines[1]->cache, quote.parts[i], 0, Now - std::chrono::milliseconds(100));
     }
     EXPECT_FALSE(choosePlacement({ engines[0], engines[1] }, query, {}, Now).fetchFrom) << "it is still being read";
     const auto later = Now + std::chrono::seconds(1);
--- a/src/core/passthrough/tests/serverlimit_tests.cpp
+++ b/src/core/passthrough/tests/serverlimit_tests.cpp
@@ -59,7 +59,7 @@
     options.kills = *rc::gen::inRange<std::size_t>(0, 6);
     options.cuts = *rc::gen::inRange<std::size_t>(0, 3);
     options.seed = *rc::gen::arbitrary<std::uint64_t>();
-    const auto result = playLimitedFleet(options);
+    const auto result = simulateLimitedFleet(options);
     RC_LOG() << "entries " << options.entries << ", limit " << options.limit << ": " << result.mostWithinWindow << " within the window";
     RC_ASSERT(static_cast<double>(result.mostWithinWindow) <= allowedWithinWindow(options.limit));
 }
@@ -69,13 +69,13 @@
 {
     const TimePoint now(std::chrono::hours(1));
     ServerLimit limit;
-    ASSERT_TRUE(noteStated(limit, 6, now, now));
-    LimitShare share{ .entries = 40, .peersKnown = true, .sent = 3 }; // of 24 within the window, 3 for each of 8 entries
-    EXPECT_TRUE(mayTake(limit, share, now));
+    ASSERT_TRUE(updateOwnStatement(limit, 6, now, now));
+    LimitUsage share{ .entries = 40, .peersKnown = true, .sent = 3 }; // of 24 within the window, 3 for each of 8 entries
+    EXPECT_TRUE(maySend(limit, share, now));
     share.peersKnown = false;
-    EXPECT_FALSE(mayTake(limit, share, now));
+    EXPECT_FALSE(maySend(limit, share, now));
     share.entries = 0;
-    EXPECT_FALSE(mayTake(limit, share, now));
+    EXPECT_FALSE(maySend(limit, share, now));
 }
 
 /// Guards against a server that is shunned as long as it is in need: what it takes is used.
@@ -84,7 +84,7 @@
     for (const auto entries : { 1U, 7U, 40U }) {
         for (const auto limit : { 1.0, 5.0, 40.0 }) {
             const LimitedFleetOptions options{ .entries = entries, .servers = 1, .limit = limit, .requestsPerSecond = 20 + 4 * limit };
-            const auto result = playLimitedFleet(options);
+            const auto result = simulateLimitedFleet(options);
             constexpr double Seconds = 11;
             EXPECT_GE(static_cast<double>(result.sentToFirst), 0.5 * limit * Seconds) << entries << " entries, " << limit << " a second";
             EXPECT_GT(result.refusedAsLimited, 0U);
@@ -95,7 +95,7 @@
 /// Guards against requests that are refused although another server takes them.
 TEST(ServerLimitTests, whatALimitTurnsAwayGoesElsewhere)
 {
-    const auto result = playLimitedFleet({ .entries = 7, .servers = 3, .limitedServers = 1, .limit = 1 });
+    const auto result = simulateLimitedFleet({ .entries = 7, .servers = 3, .limitedServers = 1, .limit = 1 });
     EXPECT_EQ(result.refused, 0U);
 }
 
@@ -104,7 +104,7 @@
 {
     for (const auto entries : { 7U, 40U }) {
         const LimitedFleetOptions options{ .entries = entries, .servers = 2, .limit = 1, .limitUntil = std::chrono::seconds(6) };
-        const auto result = playLimitedFleet(options);
+        const auto result = simulateLimitedFleet(options);
         constexpr double Seconds = 5;
         EXPECT_GE(static_cast<double>(result.sentToFirstAfter), 0.3 * options.requestsPerSecond * Seconds) << entries << " entries";
     }
@@ -115,13 +115,13 @@
 {
     const TimePoint now(std::chrono::hours(1));
     ServerLimit limit;
-    ASSERT_TRUE(noteStated(limit, 4, now, now));
-    LimitShare share{ .entries = 1, .peersKnown = true, .sent = 12 }; // of 16 within the window
-    EXPECT_TRUE(mayTake(limit, share, now));
+    ASSERT_TRUE(updateOwnStatement(limit, 4, now, now));
+    LimitUsage share{ .entries = 1, .peersKnown = true, .sent = 12 }; // of 16 within the window
+    EXPECT_TRUE(maySend(limit, share, now));
     share.leavesReserve = true;
-    EXPECT_FALSE(mayTake(limit, share, now));
+    EXPECT_FALSE(maySend(limit, share, now));
     share.sent = 11;
-    EXPECT_TRUE(mayTake(limit, share, now));
+    EXPECT_TRUE(maySend(limit, share, now));
 }
 
 TEST(ServerLimitTests, anAnswerToAnEarlierRequestDoesNotEndALimit)
--- a/src/core/passthrough/tests/strain_tests.cpp
+++ b/src/core/passthrough/tests/strain_tests.cpp
@@ -13,9 +13,9 @@
 constexpr TimePoint Begun(std::chrono::hours(1));
 constexpr Duration Second = std::chrono::seconds(1);
 
-auto makePace(std::uint32_t events, std::uint32_t likelyEvents) -> AnswerPace
+auto makePace(std::uint32_t events, std::uint32_t expectedEvents) -> AnswerPace
 {
-    return { .begunAt = Begun, .events = events, .likelyEvents = likelyEvents, .deadline = Begun + 8 * Second };
+    return { .startedAt = Begun, .events = events, .expectedEvents = expectedEvents, .deadline = Begun + 8 * Second };
 }
 
 /// Requests of equal prompts that are sent while the engines have room for some of what waits.
@@ -78,12 +78,12 @@
 
 TEST(StrainTests, strainIsForgottenWithinSomeSixtyEvents)
 {
-    Strain strain{ .part = 1 };
-    EXPECT_LT(releasesUnder(strain), 0.6);
-    EXPECT_LT(aheadUnder(strain), 0.5);
-    noteEvents(strain, 300, false);
-    EXPECT_GT(releasesUnder(strain), 2.8);
-    EXPECT_GT(aheadUnder(strain), 0.98);
+    Strain strain{ .share = 1 };
+    EXPECT_LT(releaseFactor(strain), 0.6);
+    EXPECT_LT(queuedWorkFactor(strain), 0.5);
+    recordEvents(strain, 300, false);
+    EXPECT_GT(releaseFactor(strain), 2.8);
+    EXPECT_GT(queuedWorkFactor(strain), 0.98);
 }
 
 /// What callers see: answers that begin in time and are cut at the caller's deadline, two in three of a burst. Engines with large
