--- a/src/gateway/clock.cpp
+++ b/src/gateway/clock.cpp
@@ -22,12 +22,12 @@
     return TimePoint(readClock(CLOCK_BOOTTIME));
 }
 
-TrueClock::TrueClock()
+WallClock::WallClock()
     : offset_(readClock(CLOCK_REALTIME) - readClock(CLOCK_BOOTTIME))
 {
 }
 
-auto TrueClock::at(TimePoint time) const -> std::chrono::milliseconds
+auto WallClock::at(TimePoint time) const -> std::chrono::milliseconds
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(time.time_since_epoch() + offset_);
 }
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -14,31 +14,31 @@
 
 using adapter::StoreOutcome;
 
-/// Where the entries register; the product's own part of the store.
+/// Prefix of the entries' registrations, in the part of the store that belongs to this product.
 constexpr std::string_view EntriesPrefix = "auburnspread/entries/";
-/// All entries as they were listed last.
-constexpr std::string_view RememberedKey = "auburnspread/fleet";
-
-/// Pause after a call that failed, doubled after each further one. A store that is weak must not be asked by many at once, and one that
-/// is back is to be noticed within a second.
-constexpr Duration FailurePause = std::chrono::milliseconds(300);
-constexpr int MostDoublings = 2;
-/// Of a question for changes that is to be answered at once.
-constexpr Duration ShortestWait = std::chrono::milliseconds(1);
-/// Entries come and go rarely, and a change ends the wait.
-constexpr Duration EntriesWait = std::chrono::seconds(10);
-/// Between two watches of the entries: where many start at once, one answer tells of several.
-constexpr Duration EntriesPause = std::chrono::milliseconds(200);
-/// A lease is renewed this often within its time, so that two lost calls do not end it.
+/// Key of the list of entries that was saved last.
+constexpr std::string_view EntriesSnapshotKey = "auburnspread/fleet";
+
+/// Delay after a failed call, doubled after each further failure. An overloaded store must not receive retries of many entries at once,
+/// and its recovery has to be noticed within a second.
+constexpr Duration RetryDelay = std::chrono::milliseconds(300);
+constexpr int MaxDoublings = 2;
+/// Timeout of a watch that the store answers at once, whether or not there are changes.
+constexpr Duration ImmediateWatchTimeout = std::chrono::milliseconds(1);
+/// Longest duration of a watch of the entries. Entries rarely come and go, and a change ends the watch.
+constexpr Duration EntriesWatchTimeout = std::chrono::seconds(10);
+/// Pause between two watches of the entries. Where many entries start at once, one response covers several of them.
+constexpr Duration EntriesWatchInterval = std::chrono::milliseconds(200);
+/// Renewals within the lease duration, so that two lost calls do not end the lease.
 constexpr int RenewalsPerLease = 3;
-/// A renewal that failed is tried again after this part of the lease's time.
+/// A failed renewal is retried after the lease duration divided by this number.
 constexpr int RetriesPerLease = 5;
-/// What an outdated read tells is no older than this.
-constexpr Duration OldestOutdated = std::chrono::seconds(10);
-/// Without a list for this long, servers may have lost their registration while they live.
-constexpr Duration OutageLength = std::chrono::milliseconds(1500);
-/// The same for an entry that did not try to read.
-constexpr Duration UnnoticedOutageLength = std::chrono::milliseconds(3500);
+/// Upper bound for the staleness of a stale read.
+constexpr Duration MaxStaleness = std::chrono::seconds(10);
+/// When the list could not be read for longer than this, live servers may have lost their registration.
+constexpr Duration OutageThreshold = std::chrono::milliseconds(1500);
+/// The same threshold for an entry that did not attempt to read the list.
+constexpr Duration UnattemptedOutageThreshold = std::chrono::milliseconds(3500);
 
 auto describe(StoreOutcome outcome, const http::Result &result) -> std::string
 {
@@ -58,70 +58,71 @@
 {
 }
 
-auto Directory::setReading(bool reading) -> void
+auto Directory::setReadsForPeers(bool readsForPeers) -> void
 {
-    if (std::exchange(reading_, reading) == reading) {
+    if (std::exchange(readsForPeers_, readsForPeers) == readsForPeers) {
         return;
     }
-    if (reading) {
-        beginReading();
+    if (readsForPeers) {
+        startReading();
         return;
     }
-    round_ += 1;
-    for (auto *topic : { &configuration_, &serversTopic_, &entries_ }) {
-        *topic = { .failures = topic->failures, .failedAt = topic->failedAt };
+    generation_ += 1;
+    for (auto *poll : { &configurationPoll_, &serversPoll_, &entriesPoll_ }) {
+        *poll = { .consecutiveFailures = poll->consecutiveFailures, .lastFailureAt = poll->lastFailureAt };
     }
 }
 
-/// Where the store did not answer the last time, the pause before the next try goes on: entries take turns in trying. A question for the
-/// configuration that is under way is that try, and its answer begins the rest.
-auto Directory::beginReading() -> void
+/// If the last call to the store failed, the remaining retry delay still applies, because entries take turns in retrying. A read of the
+/// configuration that is in flight counts as the retry, and its response starts the other reads.
+auto Directory::startReading() -> void
 {
-    if (reachable_ == false) {
-        readsRest_ = true;
-        goOn(configuration_, std::max(configuration_.failedAt + pauseOf(configuration_) - now(), Duration::zero()), &Directory::readOnce);
+    if (lastReachable_ == false) {
+        serversAndEntriesPending_ = true;
+        scheduleNext(
+            configurationPoll_, std::max(configurationPoll_.lastFailureAt + retryDelay(configurationPoll_) - now(), Duration::zero()), &Directory::readOnce);
     } else {
         readOnce();
     }
 }
 
-auto Directory::noteConfiguration(std::uint64_t revision) -> void
+auto Directory::recordConfigurationRevision(std::uint64_t revision) -> void
 {
     configurationRevision_ = std::max(configurationRevision_, revision);
 }
 
 auto Directory::readOnce() -> void
 {
-    if (!configuration_.isUnderWay) {
-        checkConfiguration();
+    if (!configurationPoll_.isInFlight) {
+        refreshConfiguration();
     }
-    readsRest_ = reachable_ == false;
-    if (!readsRest_) {
-        readRest();
+    serversAndEntriesPending_ = lastReachable_ == false;
+    if (!serversAndEntriesPending_) {
+        readServersAndEntries();
     }
 }
 
-/// Failure: the store is away. Symptom: every entry that tries it asks for everything at once, again and again. Where the last call
-/// failed, one question finds out, and the rest is asked when it was answered.
-auto Directory::readRest() -> void
+/// Failure: the store is unavailable. Symptom: every entry that retries requests everything at once, repeatedly. After a failed call a
+/// single read of the configuration therefore probes the store, and the other reads follow when it succeeds.
+auto Directory::readServersAndEntries() -> void
 {
-    readsRest_ = false;
-    if (!serversTopic_.isUnderWay) {
-        checkServers();
+    serversAndEntriesPending_ = false;
+    if (!serversPoll_.isInFlight) {
+        refreshServers();
     }
-    if (!entries_.isUnderWay) {
+    if (!entriesPoll_.isInFlight) {
         readEntries();
     }
 }
 
 auto Directory::readRegistrations() -> void
 {
-    if (!entries_.isUnderWay) {
+    if (!entriesPoll_.isInFlight) {
         readEntries();
     }
 }
 
-auto Directory::noteServers(const DirectoryState &known) -> void
+auto Directory::adoptServers(const DirectoryState &known) -> void
 {
     if (known.serversRevision <= servers_.revision) {
         return;
@@ -132,37 +133,37 @@
     }
 }
 
-auto Directory::noteServersConfirmed(TimePoint asOf) -> void
+auto Directory::recordServersConfirmed(TimePoint asOf) -> void
 {
-    serversKnownAt_ = std::max(serversKnownAt_.value_or(asOf), asOf);
+    serversConfirmedAt_ = std::max(serversConfirmedAt_.value_or(asOf), asOf);
 }
 
-auto Directory::readOutdated() -> void
+auto Directory::readStale() -> void
 {
-    readOutdatedEntries();
-    readOutdatedConfiguration();
-    readOutdatedServers("", std::make_shared<ServersRead>());
+    readStaleEntries();
+    readStaleConfiguration();
+    readStaleServers("", std::make_shared<ServersSnapshot>());
 }
 
-auto Directory::confirmOnce() -> void
+auto Directory::confirmConfiguration() -> void
 {
-    if (!configuration_.isUnderWay) {
-        checkConfiguration();
+    if (!configurationPoll_.isInFlight) {
+        refreshConfiguration();
     }
 }
 
-/// A write that fails is not repeated: the next change is written as well.
-auto Directory::rememberEntries(const std::string &list) -> void
+/// A failed write is not retried, because the next change of the list is written as well.
+auto Directory::saveEntriesSnapshot(const std::string &list) -> void
 {
     constexpr std::uint64_t NoLease = 0;
-    call("remember-entries", adapter::makePut(options_.store, RememberedKey, list, NoLease), [](StoreOutcome, const http::Result &) {});
+    callStore("remember-entries", adapter::makePut(options_.store, EntriesSnapshotKey, list, NoLease), [](StoreOutcome, const http::Result &) {});
 }
 
-/// What fails is not asked again: other entries have it, and are asked beside.
-auto Directory::readOutdatedRange(std::string_view name, std::string_view prefix, const std::string &after, OnItems onItems) -> void
+/// A failed read is not retried, because the same data is requested from other entries at the same time.
+auto Directory::readStaleRange(std::string_view name, std::string_view prefix, const std::string &after, OnItems onItems) -> void
 {
     const auto request = adapter::makeOutdatedRange(options_.store, prefix, after);
-    call(name, request, [onItems = std::move(onItems)](StoreOutcome outcome, const http::Result &result) {
+    callStore(name, request, [onItems = std::move(onItems)](StoreOutcome outcome, const http::Result &result) {
         const auto items = outcome == StoreOutcome::Done ? adapter::decodeItems(std::get<http::Response>(result)) : std::nullopt;
         if (items) {
             onItems(*items);
@@ -170,9 +171,9 @@
     });
 }
 
-auto Directory::readOutdatedConfiguration() -> void
+auto Directory::readStaleConfiguration() -> void
 {
-    readOutdatedRange("read-outdated-configuration", adapter::configurationKey(), "", [this](const adapter::StoreItems &items) {
+    readStaleRange("read-outdated-configuration", adapter::configurationKey(), "", [this](const adapter::StoreItems &items) {
         for (const auto &item : items.items) {
             if (item.key == adapter::configurationKey()) {
                 callbacks_.onConfiguration({ .document = item.value, .revision = item.revision });
@@ -181,59 +182,59 @@
     });
 }
 
-auto Directory::readOutdatedEntries() -> void
+auto Directory::readStaleEntries() -> void
 {
-    readOutdatedRange("read-outdated-entries", RememberedKey, "", [this](const adapter::StoreItems &items) {
+    readStaleRange("read-outdated-entries", EntriesSnapshotKey, "", [this](const adapter::StoreItems &items) {
         for (const auto &item : items.items) {
-            if (item.key == RememberedKey) {
-                callbacks_.onRemembered(item.value);
+            if (item.key == EntriesSnapshotKey) {
+                callbacks_.onEntriesSnapshot(item.value);
             }
         }
     });
 }
 
-auto Directory::readOutdatedServers(const std::string &after, const std::shared_ptr<ServersRead> &read) -> void
+auto Directory::readStaleServers(const std::string &after, const std::shared_ptr<ServersSnapshot> &read) -> void
 {
-    readOutdatedRange("read-outdated-servers", adapter::serversPrefix(), after, [this, read](const adapter::StoreItems &items) {
+    readStaleRange("read-outdated-servers", adapter::serversPrefix(), after, [this, read](const adapter::StoreItems &items) {
         ServerList page;
         for (const auto &item : items.items) {
-            takeServer(page, item);
+            applyServer(page, item);
         }
         for (auto &[id, server] : page.byId) {
             read->servers.push_back(std::move(server));
         }
         read->revision = read->revision == 0 ? items.revision : read->revision;
         if (items.hasMore && !items.items.empty()) {
-            readOutdatedServers(items.items.back().key, read);
+            readStaleServers(items.items.back().key, read);
             return;
         }
-        read->asOf = now() - OldestOutdated;
+        read->asOf = now() - MaxStaleness;
         callbacks_.onServers(*read);
     });
 }
 
-auto Directory::goOn(Topic &topic, Duration pause, Step step) -> void
+auto Directory::scheduleNext(Poll &poll, Duration pause, ReadMethod method) -> void
 {
-    // what an answer told may have begun the next call
-    if (reading_ && !topic.isUnderWay) {
-        topic.timer = loop_.after(pause, [this, step]() { (this->*step)(); });
+    // a callback of the response may already have started the next call
+    if (readsForPeers_ && !poll.isInFlight) {
+        poll.timer = loop_.after(pause, [this, method]() { (this->*method)(); });
     }
 }
 
-auto Directory::pauseOf(const Topic &topic) -> Duration
+auto Directory::retryDelay(const Poll &poll) -> Duration
 {
-    return FailurePause * (1 << std::clamp(topic.failures - 1, 0, MostDoublings));
+    return RetryDelay * (1 << std::clamp(poll.consecutiveFailures - 1, 0, MaxDoublings));
 }
 
-auto Directory::goOnAfterFailure(Topic &topic, Step step) -> void
+auto Directory::scheduleRetry(Poll &poll, ReadMethod method) -> void
 {
-    if (&topic != &configuration_ && configuration_.failures > 0) {
-        readsRest_ = true;
+    if (&poll != &configurationPoll_ && configurationPoll_.consecutiveFailures > 0) {
+        serversAndEntriesPending_ = true;
         return;
     }
-    topic.failures += 1;
-    topic.failedAt = now();
-    goOn(topic, pauseOf(topic), step);
+    poll.consecutiveFailures += 1;
+    poll.lastFailureAt = now();
+    scheduleNext(poll, retryDelay(poll), method);
 }
 
 auto Directory::calls() const -> std::uint64_t
@@ -241,103 +242,105 @@
     return calls_;
 }
 
-auto Directory::call(std::string_view name, const http::Request &request, std::function<void(StoreOutcome, const http::Result &)> onDone) -> void
+auto Directory::callStore(std::string_view name, const http::Request &request, std::function<void(StoreOutcome, const http::Result &)> onDone) -> void
 {
     calls_ += 1;
     client_.fetch(request, [this, name, onDone = std::move(onDone)](const http::Result &result) {
         const auto outcome = adapter::outcomeOf(result);
-        noteReachable(name, outcome, result);
+        reportReachability(name, outcome, result);
         onDone(outcome, result);
     });
 }
 
-auto Directory::noteReachable(std::string_view name, StoreOutcome outcome, const http::Result &result) -> void
+auto Directory::reportReachability(std::string_view name, StoreOutcome outcome, const http::Result &result) -> void
 {
     const auto reachable = outcome != StoreOutcome::Unknown && outcome != StoreOutcome::Refused;
-    if (reachable_ != reachable) {
-        reachable_ = reachable;
+    if (lastReachable_ != reachable) {
+        lastReachable_ = reachable;
         callbacks_.onReachable(options_.store, reachable, name, describe(outcome, result));
     }
 }
 
-auto Directory::fetchItems(Topic &topic, std::string_view name, const http::Request &request, OnItems onItems, OnFailure onFailure) -> void
-{
-    const auto round = round_;
-    topic.isUnderWay = true;
-    call(name,
-         request,
-         [this, &topic, name, round, onItems = std::move(onItems), onFailure = std::move(onFailure)](StoreOutcome outcome, const http::Result &result) {
-             if (round != round_) {
-                 return;
-             }
-             topic.isUnderWay = false;
-             if (outcome != StoreOutcome::Done) {
-                 onFailure(outcome);
-                 return;
-             }
-             topic.failures = 0;
-             const auto items = adapter::decodeItems(std::get<http::Response>(result));
-             if (!items) {
-                 callbacks_.onInvalid(name, "answer of the store can't be read");
-                 onFailure(StoreOutcome::Unknown);
-                 return;
-             }
-             onItems(*items);
-         });
+auto Directory::fetchItems(Poll &poll, std::string_view name, const http::Request &request, OnItems onItems, OnFailure onFailure) -> void
+{
+    const auto generation = generation_;
+    poll.isInFlight = true;
+    callStore(
+        name,
+        request,
+        [this, &poll, name, generation, onItems = std::move(onItems), onFailure = std::move(onFailure)](StoreOutcome outcome, const http::Result &result) {
+            if (generation != generation_) {
+                return;
+            }
+            poll.isInFlight = false;
+            if (outcome != StoreOutcome::Done) {
+                onFailure(outcome);
+                return;
+            }
+            poll.consecutiveFailures = 0;
+            const auto items = adapter::decodeItems(std::get<http::Response>(result));
+            if (!items) {
+                callbacks_.onInvalid(name, "response of the store cannot be decoded");
+                onFailure(StoreOutcome::Unknown);
+                return;
+            }
+            onItems(*items);
+        });
 }
 
 auto Directory::readConfiguration() -> void
 {
-    const auto askedAt = now();
+    const auto requestedAt = now();
     fetchItems(
-        configuration_,
+        configurationPoll_,
         "read-configuration",
         adapter::makeRange(options_.store, adapter::configurationKey(), ""),
-        [this, askedAt](const adapter::StoreItems &items) {
-            takeConfiguration(items, askedAt);
-            goOn(configuration_, Duration::zero(), &Directory::watchConfiguration);
+        [this, requestedAt](const adapter::StoreItems &items) {
+            handleConfiguration(items, requestedAt);
+            scheduleNext(configurationPoll_, Duration::zero(), &Directory::watchConfiguration);
         },
-        [this](StoreOutcome /*outcome*/) { goOnAfterFailure(configuration_, &Directory::readConfiguration); });
+        [this](StoreOutcome /*outcome*/) { scheduleRetry(configurationPoll_, &Directory::readConfiguration); });
 }
 
-/// Failure: entries that hear nothing of the others read the store themselves, all at once. Symptom: the document, which they have,
-/// fills their links over and over. What changed since the known one confirms it as well, and is a few bytes.
-auto Directory::checkConfiguration() -> void
+/// Failure: entries that receive nothing from other entries read the store themselves, all at once. Symptom: their links are filled
+/// repeatedly by the document, which they already have. A watch from the known revision confirms the document as well and transfers only
+/// a few bytes.
+auto Directory::refreshConfiguration() -> void
 {
     if (configurationRevision_ == 0) {
         readConfiguration();
     } else {
-        askForChange(ShortestWait);
+        fetchConfigurationChange(ImmediateWatchTimeout);
     }
 }
 
 auto Directory::watchConfiguration() -> void
 {
-    askForChange(options_.configurationWait);
+    fetchConfigurationChange(options_.configurationWatchTimeout);
 }
 
-auto Directory::askForChange(Duration wait) -> void
+auto Directory::fetchConfigurationChange(Duration watchTimeout) -> void
 {
-    const auto askedAt = now();
+    const auto requestedAt = now();
     fetchItems(
-        configuration_,
+        configurationPoll_,
         "watch-configuration",
-        adapter::makeWatch(options_.store, adapter::configurationKey(), configurationRevision_, wait),
-        [this, askedAt](const adapter::StoreItems &items) {
-            takeConfiguration(items, askedAt);
-            goOn(configuration_, Duration::zero(), &Directory::watchConfiguration);
+        adapter::makeWatch(options_.store, adapter::configurationKey(), configurationRevision_, watchTimeout),
+        [this, requestedAt](const adapter::StoreItems &items) {
+            handleConfiguration(items, requestedAt);
+            scheduleNext(configurationPoll_, Duration::zero(), &Directory::watchConfiguration);
         },
         [this](StoreOutcome outcome) {
             if (outcome == StoreOutcome::HistoryGone) {
                 readConfiguration();
                 return;
             }
-            goOnAfterFailure(configuration_, &Directory::watchConfiguration);
+            scheduleRetry(configurationPoll_, &Directory::watchConfiguration);
         });
 }
 
-/// The answer shows the state at some time after it was asked for, so the moment of asking is the one that is sure.
-auto Directory::takeConfiguration(const adapter::StoreItems &items, TimePoint askedAt) -> void
+/// The response shows the state at some time after the request was sent, so only the time of the request is a safe lower bound.
+auto Directory::handleConfiguration(const adapter::StoreItems &items, TimePoint requestedAt) -> void
 {
     configurationRevision_ = std::max(configurationRevision_, items.revision);
     for (const auto &item : items.items) {
@@ -345,95 +348,96 @@
             callbacks_.onConfiguration({ .document = item.value, .revision = item.revision });
         }
     }
-    callbacks_.onConfirmed(askedAt);
-    if (readsRest_) {
-        readRest();
+    callbacks_.onConfigurationConfirmed(requestedAt);
+    if (serversAndEntriesPending_) {
+        readServersAndEntries();
     }
 }
 
-/// Where a list is known, what changed since then is one call instead of one for each page.
-auto Directory::checkServers() -> void
+/// If a list is known, reading the changes since its revision takes one call instead of one for each page.
+auto Directory::refreshServers() -> void
 {
     if (servers_.revision == 0) {
         readServers();
     } else {
-        askForServerChanges(ShortestWait);
+        fetchServerChanges(ImmediateWatchTimeout);
     }
 }
 
 auto Directory::readServers() -> void
 {
-    page_ = { .asOf = now() };
+    partialServers_ = { .asOf = now() };
     readServersPage("");
 }
 
 auto Directory::readServersPage(const std::string &after) -> void
 {
     fetchItems(
-        serversTopic_,
+        serversPoll_,
         "read-servers",
         adapter::makeRange(options_.store, adapter::serversPrefix(), after),
-        [this](const adapter::StoreItems &items) { takeServersPage(items); },
+        [this](const adapter::StoreItems &items) { handleServersPage(items); },
         [this](StoreOutcome /*outcome*/) {
-            serversFailedAt_ = now();
-            goOnAfterFailure(serversTopic_, &Directory::readServers);
+            lastServersFailureAt_ = now();
+            scheduleRetry(serversPoll_, &Directory::readServers);
         });
 }
 
-/// The pages are no snapshot: what the first one shows is sure for all of them.
-auto Directory::takeServersPage(const adapter::StoreItems &items) -> void
+/// The pages are not a consistent snapshot, so the revision of the first page is a safe lower bound for the whole list.
+auto Directory::handleServersPage(const adapter::StoreItems &items) -> void
 {
-    page_.revision = page_.revision == 0 ? items.revision : page_.revision;
+    partialServers_.revision = partialServers_.revision == 0 ? items.revision : partialServers_.revision;
     for (const auto &item : items.items) {
-        takeServer(page_, item);
+        applyServer(partialServers_, item);
     }
     if (items.hasMore && !items.items.empty()) {
         readServersPage(items.items.back().key);
         return;
     }
-    servers_ = std::exchange(page_, {});
-    takeServers();
+    servers_ = std::exchange(partialServers_, {});
+    publishServers();
 }
 
 auto Directory::watchServers() -> void
 {
-    askForServerChanges(options_.serversWait);
+    fetchServerChanges(options_.serversWatchTimeout);
 }
 
-auto Directory::askForServerChanges(Duration wait) -> void
+auto Directory::fetchServerChanges(Duration watchTimeout) -> void
 {
-    const auto askedAt = now();
+    const auto requestedAt = now();
     fetchItems(
-        serversTopic_,
+        serversPoll_,
         "watch-servers",
-        adapter::makeWatch(options_.store, adapter::serversPrefix(), servers_.revision, wait),
-        [this, askedAt](const adapter::StoreItems &items) {
-            servers_.asOf = std::max(servers_.asOf, askedAt);
-            takeServerChanges(items);
+        adapter::makeWatch(options_.store, adapter::serversPrefix(), servers_.revision, watchTimeout),
+        [this, requestedAt](const adapter::StoreItems &items) {
+            servers_.asOf = std::max(servers_.asOf, requestedAt);
+            handleServerChanges(items);
         },
         [this](StoreOutcome outcome) {
-            serversFailedAt_ = now();
+            lastServersFailureAt_ = now();
             if (outcome == StoreOutcome::HistoryGone) {
                 readServers();
                 return;
             }
-            goOnAfterFailure(serversTopic_, &Directory::watchServers);
+            scheduleRetry(serversPoll_, &Directory::watchServers);
         });
 }
 
-/// A list that came by another way while the question was under way may be newer than the answer; it holds all of that already.
-auto Directory::takeServerChanges(const adapter::StoreItems &items) -> void
+/// A list received from another entry while the call was in flight may be newer than the response, and then already contains these
+/// changes.
+auto Directory::handleServerChanges(const adapter::StoreItems &items) -> void
 {
     if (items.revision >= servers_.revision) {
         servers_.revision = items.revision;
         for (const auto &item : items.items) {
-            takeServer(servers_, item);
+            applyServer(servers_, item);
         }
     }
-    takeServers();
+    publishServers();
 }
 
-auto Directory::takeServer(ServerList &list, const adapter::StoreItem &item) -> void
+auto Directory::applyServer(ServerList &list, const adapter::StoreItem &item) -> void
 {
     const auto id = adapter::serverIdOf(item.key);
     if (item.isRemoved) {
@@ -444,100 +448,101 @@
         list.byId[id] = adapter::decodeServer(item.key, item.value);
     } catch (const adapter::InvalidDocument &error) {
         list.byId.erase(id);
-        tellInvalidServer(item, error.what());
+        reportInvalidServer(item, error.what());
     }
 }
 
-/// A registration of another writer stays for hours and is read twice a second: it is told once for each time it was written.
-auto Directory::tellInvalidServer(const adapter::StoreItem &item, std::string_view detail) -> void
+/// An invalid registration may remain for hours and is read twice a second, so it is reported once for each revision.
+auto Directory::reportInvalidServer(const adapter::StoreItem &item, std::string_view detail) -> void
 {
-    constexpr std::size_t MostRemembered = 1000;
-    if (invalidServers_.size() >= MostRemembered) {
-        invalidServers_.clear();
+    constexpr std::size_t MaxReported = 1000;
+    if (reportedInvalidServers_.size() >= MaxReported) {
+        reportedInvalidServers_.clear();
     }
-    auto &told = invalidServers_[item.key];
-    if (std::exchange(told, item.revision) != item.revision) {
+    auto &reportedRevision = reportedInvalidServers_[item.key];
+    if (std::exchange(reportedRevision, item.revision) != item.revision) {
         callbacks_.onInvalid("server", item.key + ": " + std::string(detail));
     }
 }
 
-/// When a while without the store ended, if the list that was just read ends one: servers may have lost their registration meanwhile.
+/// End of an outage of the store, if the list that was just read ends one. Servers may have lost their registration during the outage.
 ///
-/// Failure: an entry's own calls fail, others tell it of the servers, and some time after their last word it reads the list itself.
-/// Symptom: a server that has just left counts as one that is about to return, and gets requests for two seconds more. Only calls that
-/// failed after the last word of anybody show that the store was away. An entry that takes the reading over may not have tried
-/// meanwhile, so a long gap shows it too; it is longer than what the loss of a reader takes.
-auto Directory::findOutage() const -> std::optional<TimePoint>
-{
-    const auto knownAt = serversKnownAt_.value_or(servers_.asOf);
-    const auto hasFailedSince = serversFailedAt_ && *serversFailedAt_ > knownAt;
-    const auto isOutage = servers_.asOf - knownAt > (hasFailedSince ? OutageLength : UnnoticedOutageLength);
+/// Failure: an entry's own calls fail, it receives the list of servers from other entries, and some time after the last of these updates
+/// it reads the list itself. Symptom: a server that has just left is treated as about to return, and receives requests for two more
+/// seconds. Therefore only calls that failed after the last confirmation from any source indicate an outage. An entry that takes over
+/// reading may not have attempted a call in the meantime, so a long gap also indicates an outage; that threshold is longer than the
+/// failover from a lost reader.
+auto Directory::detectOutage() const -> std::optional<TimePoint>
+{
+    const auto knownAt = serversConfirmedAt_.value_or(servers_.asOf);
+    const auto hasFailedSince = lastServersFailureAt_ && *lastServersFailureAt_ > knownAt;
+    const auto isOutage = servers_.asOf - knownAt > (hasFailedSince ? OutageThreshold : UnattemptedOutageThreshold);
     return isOutage ? std::optional(servers_.asOf) : std::nullopt;
 }
 
-auto Directory::takeServers() -> void
+auto Directory::publishServers() -> void
 {
-    if (const auto endedAt = findOutage()) {
+    if (const auto endedAt = detectOutage()) {
         outageEndedAt_ = endedAt;
     }
-    noteServersConfirmed(servers_.asOf);
-    ServersRead read{ .revision = servers_.revision, .asOf = servers_.asOf, .outageEndedAt = outageEndedAt_ };
+    recordServersConfirmed(servers_.asOf);
+    ServersSnapshot read{ .revision = servers_.revision, .asOf = servers_.asOf, .outageEndedAt = outageEndedAt_ };
     for (const auto &[id, server] : servers_.byId) {
         read.servers.push_back(server);
     }
     callbacks_.onServers(read);
-    goOn(serversTopic_, options_.serversPause, &Directory::watchServers);
+    scheduleNext(serversPoll_, options_.serversWatchInterval, &Directory::watchServers);
 }
 
 auto Directory::readEntries() -> void
 {
     fetchItems(
-        entries_,
+        entriesPoll_,
         "read-entries",
         adapter::makeRange(options_.store, EntriesPrefix, ""),
         [this](const adapter::StoreItems &items) {
-            knownEntries_.clear();
-            takeEntries(items);
-            goOn(entries_, EntriesPause, &Directory::watchEntries);
+            registeredEntries_.clear();
+            handleEntries(items);
+            scheduleNext(entriesPoll_, EntriesWatchInterval, &Directory::watchEntries);
         },
         [this](StoreOutcome /*outcome*/) {
             callbacks_.onRegistrationsFailed();
-            goOnAfterFailure(entries_, &Directory::readEntries);
+            scheduleRetry(entriesPoll_, &Directory::readEntries);
         });
 }
 
 auto Directory::watchEntries() -> void
 {
     fetchItems(
-        entries_,
+        entriesPoll_,
         "watch-entries",
-        adapter::makeWatch(options_.store, EntriesPrefix, entriesRevision_, EntriesWait),
+        adapter::makeWatch(options_.store, EntriesPrefix, entriesRevision_, EntriesWatchTimeout),
         [this](const adapter::StoreItems &items) {
-            takeEntries(items);
-            goOn(entries_, EntriesPause, &Directory::watchEntries);
+            handleEntries(items);
+            scheduleNext(entriesPoll_, EntriesWatchInterval, &Directory::watchEntries);
         },
         [this](StoreOutcome outcome) {
             const auto isHistoryGone = outcome == StoreOutcome::HistoryGone;
-            goOnAfterFailure(entries_, isHistoryGone ? &Directory::readEntries : &Directory::watchEntries);
+            scheduleRetry(entriesPoll_, isHistoryGone ? &Directory::readEntries : &Directory::watchEntries);
         });
 }
 
-auto Directory::takeEntries(const adapter::StoreItems &items) -> void
+auto Directory::handleEntries(const adapter::StoreItems &items) -> void
 {
     entriesRevision_ = items.revision;
     for (const auto &item : items.items) {
         if (item.isRemoved) {
-            knownEntries_.erase(item.key);
+            registeredEntries_.erase(item.key);
             continue;
         }
         try {
-            knownEntries_[item.key] = adapter::decodeEntry(item.value);
+            registeredEntries_[item.key] = adapter::decodeEntry(item.value);
         } catch (const adapter::InvalidDocument &error) {
             callbacks_.onInvalid("entry", error.what());
         }
     }
     std::vector<adapter::EntryRecord> registered;
-    for (const auto &[key, entry] : knownEntries_) {
+    for (const auto &[key, entry] : registeredEntries_) {
         registered.push_back(entry);
     }
     callbacks_.onRegistrations(registered);
@@ -545,67 +550,69 @@
 
 auto Directory::registerSelf() -> void
 {
-    if (!std::exchange(isRegistered_, true)) {
-        takeLease();
+    if (!std::exchange(isRegistrationStarted_, true)) {
+        acquireLease();
     }
 }
 
-auto Directory::takeLease() -> void
+auto Directory::acquireLease() -> void
 {
-    if (isWithdrawn_) {
+    if (isDeregistered_) {
         return;
     }
-    call("take-lease", adapter::makeLease(options_.store, options_.leaseTime), [this](StoreOutcome outcome, const http::Result &result) {
+    callStore("take-lease", adapter::makeLease(options_.store, options_.leaseDuration), [this](StoreOutcome outcome, const http::Result &result) {
         const auto lease = outcome == StoreOutcome::Done ? adapter::decodeLease(std::get<http::Response>(result)) : std::nullopt;
         if (!lease) {
-            leaseTimer_ = loop_.after(FailurePause, [this]() { takeLease(); });
+            leaseTimer_ = loop_.after(RetryDelay, [this]() { acquireLease(); });
             return;
         }
         lease_ = lease->id;
-        leaseTime_ = lease->lifetime;
-        putSelf();
+        grantedLeaseDuration_ = lease->lifetime;
+        writeRegistration();
     });
 }
 
-auto Directory::putSelf() -> void
+auto Directory::writeRegistration() -> void
 {
-    if (isWithdrawn_) {
+    if (isDeregistered_) {
         return;
     }
     const auto key = std::string(EntriesPrefix) + options_.self.name;
-    call("register", adapter::makePut(options_.store, key, adapter::encodeEntry(options_.self), lease_), [this](StoreOutcome outcome, const http::Result &) {
-        if (outcome == StoreOutcome::Done) {
-            leaseTimer_ = loop_.after(leaseTime_ / RenewalsPerLease, [this]() { renewLease(); });
-            return;
-        }
-        // an answer that was lost may belong to a write that was done: writing the same again does no harm
-        const auto isLeaseGone = outcome == StoreOutcome::Absent;
-        leaseTimer_ = loop_.after(FailurePause, [this, isLeaseGone]() { isLeaseGone ? takeLease() : putSelf(); });
-    });
+    callStore(
+        "register", adapter::makePut(options_.store, key, adapter::encodeEntry(options_.self), lease_), [this](StoreOutcome outcome, const http::Result &) {
+            if (outcome == StoreOutcome::Done) {
+                leaseTimer_ = loop_.after(grantedLeaseDuration_ / RenewalsPerLease, [this]() { renewLease(); });
+                return;
+            }
+            // the write may have succeeded although its response was lost; writing the same value again is harmless
+            const auto isLeaseGone = outcome == StoreOutcome::Absent;
+            leaseTimer_ = loop_.after(RetryDelay, [this, isLeaseGone]() { isLeaseGone ? acquireLease() : writeRegistration(); });
+        });
 }
 
 auto Directory::renewLease() -> void
 {
-    if (isWithdrawn_) {
+    if (isDeregistered_) {
         return;
     }
-    call("renew-lease", adapter::makeRenewal(options_.store, lease_), [this](StoreOutcome outcome, const http::Result &) {
+    callStore("renew-lease", adapter::makeRenewal(options_.store, lease_), [this](StoreOutcome outcome, const http::Result &) {
         if (outcome == StoreOutcome::Absent) {
-            takeLease();
+            acquireLease();
             return;
         }
-        const auto pause = outcome == StoreOutcome::Done ? leaseTime_ / RenewalsPerLease : std::max(FailurePause, leaseTime_ / RetriesPerLease);
+        const auto pause
+            = outcome == StoreOutcome::Done ? grantedLeaseDuration_ / RenewalsPerLease : std::max(RetryDelay, grantedLeaseDuration_ / RetriesPerLease);
         leaseTimer_ = loop_.after(pause, [this]() { renewLease(); });
     });
 }
 
-auto Directory::withdraw() -> void
+auto Directory::deregister() -> void
 {
-    if (std::exchange(isWithdrawn_, true) || lease_ == 0) {
+    if (std::exchange(isDeregistered_, true) || lease_ == 0) {
         return;
     }
-    // a failure needs no repeat: the lease ends by itself within seconds
-    call("withdraw", adapter::makeLeaseEnd(options_.store, lease_), [](StoreOutcome, const http::Result &) {});
+    // not retried after a failure: the lease expires within seconds
+    callStore("withdraw", adapter::makeLeaseEnd(options_.store, lease_), [](StoreOutcome, const http::Result &) {});
 }
 
 } // namespace auburnspread::gateway
--- a/src/gateway/directory.h
+++ b/src/gateway/directory.h
@@ -1,6 +1,6 @@
 /// \file
-/// This entry's own dealings with the platform's store: reads of the operators' configuration, the backend servers and the
-/// registered entries, and this entry's registration under a lease.
+/// This entry's access to the platform's store: reads of the operators' configuration, the backend servers and the registered
+/// entries, and this entry's registration under a lease.
 
 #pragma once
 
@@ -23,17 +23,17 @@
 namespace auburnspread::gateway
 {
 
-/// Of one watch of the configuration; its return confirms the configuration as of its beginning, so that this is half of how old a
-/// confirmation gets in the normal course.
-constexpr Duration ConfigurationWait = std::chrono::milliseconds(500);
+/// Longest duration of one watch of the configuration. When a watch returns, it confirms the configuration as of the time at which the
+/// watch began, so in normal operation a confirmation gets up to twice this old.
+constexpr Duration ConfigurationWatchTimeout = std::chrono::milliseconds(500);
 
 struct DirectoryOptions {
-    std::string store; ///< address
+    std::string store; ///< IP number and port of the store
     adapter::EntryRecord self;
-    Duration leaseTime = std::chrono::seconds(10);          ///< an entry that lost power is asked by those that start for as long
-    Duration serversPause = std::chrono::milliseconds(400); ///< between two watches of the backend servers
-    Duration serversWait = std::chrono::milliseconds(400);  ///< of such a watch; a change ends it
-    Duration configurationWait = ConfigurationWait;
+    Duration leaseDuration = std::chrono::seconds(10);              ///< starting entries ask an entry that lost power until its lease expires
+    Duration serversWatchInterval = std::chrono::milliseconds(400); ///< pause between two watches of the backend servers
+    Duration serversWatchTimeout = std::chrono::milliseconds(400);  ///< longest duration of such a watch; a change ends it earlier
+    Duration configurationWatchTimeout = ConfigurationWatchTimeout;
 };
 
 class Directory
@@ -41,100 +41,101 @@
 public:
     Directory(task::EventLoop &loop, DirectoryOptions options, DirectoryCallbacks callbacks);
 
-    /// Whether this entry reads the store for others: from now on it follows every change, or leaves it.
-    auto setReading(bool reading) -> void;
-    /// One read of everything, for an entry that has nobody to ask.
+    /// Sets whether this entry reads the store on behalf of other entries. While it does, it watches the store for every change.
+    auto setReadsForPeers(bool readsForPeers) -> void;
+    /// Reads everything once, for an entry that has no other entry to ask.
     auto readOnce() -> void;
-    /// One read of the configuration, the servers and the entries as they may have been some seconds ago, at a tenth of the price.
-    /// Confirms nothing.
-    auto readOutdated() -> void;
-    /// One question whether the known configuration is the newest.
-    auto confirmOnce() -> void;
-    /// Keeps the list of entries for those that start when nobody can tell it.
-    auto rememberEntries(const std::string &list) -> void;
-    /// One read of who is registered.
+    /// Reads the configuration, the servers and the saved list of entries once, with results that may be seconds stale, at a tenth
+    /// of the cost of a consistent read. Does not confirm the configuration.
+    auto readStale() -> void;
+    /// Asks the store once whether the known configuration is the newest.
+    auto confirmConfiguration() -> void;
+    /// Saves the list of entries in the store, for entries that start while no other entry can send it.
+    auto saveEntriesSnapshot(const std::string &list) -> void;
+    /// Reads the registered entries once.
     auto readRegistrations() -> void;
-    /// \name What came by another way
+    /// \name Data received from other entries
     /// @{
-    auto noteConfiguration(std::uint64_t revision) -> void;
-    /// The list that is known, before this entry begins to read for others.
-    auto noteServers(const DirectoryState &known) -> void;
-    auto noteServersConfirmed(TimePoint asOf) -> void;
+    auto recordConfigurationRevision(std::uint64_t revision) -> void;
+    /// Takes over the known list of servers before this entry reads the store, if it is newer than the list read last.
+    auto adoptServers(const DirectoryState &known) -> void;
+    auto recordServersConfirmed(TimePoint asOf) -> void;
     /// @}
 
-    /// Registers this entry, and keeps it registered. Does nothing if it is.
+    /// Registers this entry and renews the registration. Does nothing if called again.
     auto registerSelf() -> void;
-    /// Ends the registration for good.
-    auto withdraw() -> void;
+    /// Ends the registration; this entry does not register again.
+    auto deregister() -> void;
 
-    /// Calls to the store so far, for metrics.
+    /// Number of calls to the store so far, for metrics.
     [[nodiscard]] auto calls() const -> std::uint64_t;
 
 private:
-    /// Something that is read, and read again while this entry reads for others. One call at a time is under way.
+    /// Polling state of one kind of data, which is read repeatedly while this entry reads for others. At most one call is in flight.
     ///
-    /// Failure: an answer takes longer than the time after which it is asked for again. Symptom: several answers share the link and delay
-    /// each other, and lists that come in pages are mixed. What is under way is awaited, and its timeout bounds the wait.
-    struct Topic {
-        task::Watch timer; ///< of the next call
-        bool isUnderWay = false;
-        int failures = 0;   ///< since the last answer
-        TimePoint failedAt; ///< last
+    /// Failure: a response takes longer than the interval after which the request is repeated. Symptom: several responses share the
+    /// link and delay each other, and the pages of several lists are mixed. A new call therefore waits for the one in flight, whose
+    /// timeout bounds the wait.
+    struct Poll {
+        task::Watch timer; ///< starts the next call
+        bool isInFlight = false;
+        int consecutiveFailures = 0; ///< calls that failed since the last response
+        TimePoint lastFailureAt;
     };
 
     /// The backend servers as of a revision of the store.
     struct ServerList {
         std::map<std::string, passthrough::Server> byId;
-        std::uint64_t revision = 0; ///< 0: nothing is known
+        std::uint64_t revision = 0; ///< 0: no list is known
         TimePoint asOf;
     };
 
     using OnItems = std::function<void(const adapter::StoreItems &items)>;
     using OnFailure = std::function<void(adapter::StoreOutcome outcome)>;
-    using Step = void (Directory::*)();
+    using ReadMethod = void (Directory::*)();
 
-    auto call(std::string_view name, const http::Request &request, std::function<void(adapter::StoreOutcome, const http::Result &)> onDone) -> void;
-    auto fetchItems(Topic &topic, std::string_view name, const http::Request &request, OnItems onItems, OnFailure onFailure) -> void;
-    auto noteReachable(std::string_view name, adapter::StoreOutcome outcome, const http::Result &result) -> void;
-    /// The next step, if this entry reads for others.
-    auto goOn(Topic &topic, Duration pause, Step step) -> void;
-    /// The same after a call that failed; later each time, as the others that try do so too.
-    auto goOnAfterFailure(Topic &topic, Step step) -> void;
+    auto callStore(std::string_view name, const http::Request &request, std::function<void(adapter::StoreOutcome, const http::Result &)> onDone) -> void;
+    auto fetchItems(Poll &poll, std::string_view name, const http::Request &request, OnItems onItems, OnFailure onFailure) -> void;
+    auto reportReachability(std::string_view name, adapter::StoreOutcome outcome, const http::Result &result) -> void;
+    /// Schedules the next call, if this entry reads for others.
+    auto scheduleNext(Poll &poll, Duration pause, ReadMethod method) -> void;
+    /// Schedules a retry after a failed call, with a growing delay because other entries retry as well.
+    auto scheduleRetry(Poll &poll, ReadMethod method) -> void;
 
-    /// Until a topic may be asked for again.
-    [[nodiscard]] static auto pauseOf(const Topic &topic) -> Duration;
-    auto beginReading() -> void;
-    auto readRest() -> void;
+    /// Delay before the next retry.
+    [[nodiscard]] static auto retryDelay(const Poll &poll) -> Duration;
+    auto startReading() -> void;
+    auto readServersAndEntries() -> void;
 
     auto readConfiguration() -> void;
-    auto checkConfiguration() -> void;
+    auto refreshConfiguration() -> void;
     auto watchConfiguration() -> void;
-    auto askForChange(Duration wait) -> void;
-    auto takeConfiguration(const adapter::StoreItems &items, TimePoint askedAt) -> void;
+    auto fetchConfigurationChange(Duration watchTimeout) -> void;
+    auto handleConfiguration(const adapter::StoreItems &items, TimePoint requestedAt) -> void;
 
-    auto checkServers() -> void;
+    auto refreshServers() -> void;
     auto readServers() -> void;
     auto readServersPage(const std::string &after) -> void;
-    auto takeServersPage(const adapter::StoreItems &items) -> void;
+    auto handleServersPage(const adapter::StoreItems &items) -> void;
     auto watchServers() -> void;
-    auto askForServerChanges(Duration wait) -> void;
-    auto takeServerChanges(const adapter::StoreItems &items) -> void;
-    auto takeServer(ServerList &list, const adapter::StoreItem &item) -> void;
-    [[nodiscard]] auto findOutage() const -> std::optional<TimePoint>;
-    auto takeServers() -> void;
-    auto tellInvalidServer(const adapter::StoreItem &item, std::string_view detail) -> void;
-
-    auto readOutdatedRange(std::string_view name, std::string_view prefix, const std::string &after, OnItems onItems) -> void;
-    auto readOutdatedConfiguration() -> void;
-    auto readOutdatedEntries() -> void;
-    auto readOutdatedServers(const std::string &after, const std::shared_ptr<ServersRead> &read) -> void;
+    auto fetchServerChanges(Duration watchTimeout) -> void;
+    auto handleServerChanges(const adapter::StoreItems &items) -> void;
+    auto applyServer(ServerList &list, const adapter::StoreItem &item) -> void;
+    [[nodiscard]] auto detectOutage() const -> std::optional<TimePoint>;
+    auto publishServers() -> void;
+    auto reportInvalidServer(const adapter::StoreItem &item, std::string_view detail) -> void;
+
+    auto readStaleRange(std::string_view name, std::string_view prefix, const std::string &after, OnItems onItems) -> void;
+    auto readStaleConfiguration() -> void;
+    auto readStaleEntries() -> void;
+    auto readStaleServers(const std::string &after, const std::shared_ptr<ServersSnapshot> &read) -> void;
 
     auto readEntries() -> void;
     auto watchEntries() -> void;
-    auto takeEntries(const adapter::StoreItems &items) -> void;
+    auto handleEntries(const adapter::StoreItems &items) -> void;
 
-    auto takeLease() -> void;
-    auto putSelf() -> void;
+    auto acquireLease() -> void;
+    auto writeRegistration() -> void;
     auto renewLease() -> void;
 
     task::EventLoop &loop_;
@@ -142,28 +143,28 @@
     DirectoryCallbacks callbacks_;
     http::Client client_;
     std::uint64_t calls_ = 0;
-    std::optional<bool> reachable_; ///< as last told
-    bool reading_ = false;
-    bool readsRest_ = false;  ///< the servers and entries are to be read once the store has answered for the configuration
-    std::uint64_t round_ = 0; ///< ends when this entry no longer reads for others; answers to calls of an earlier one are dropped
-    Topic configuration_;
-    Topic serversTopic_;
-    Topic entries_;
-
-    std::uint64_t configurationRevision_ = 0; ///< of the store, since which changes of the configuration are asked for
+    std::optional<bool> lastReachable_; ///< as last reported
+    bool readsForPeers_ = false;
+    bool serversAndEntriesPending_ = false; ///< the servers and entries are read once the store has responded to a read of the configuration
+    std::uint64_t generation_ = 0;          ///< incremented when this entry stops reading for others; responses to calls of an earlier generation are dropped
+    Poll configurationPoll_;
+    Poll serversPoll_;
+    Poll entriesPoll_;
+
+    std::uint64_t configurationRevision_ = 0; ///< store revision from which the configuration is watched
     std::uint64_t entriesRevision_ = 0;
-    std::map<std::string, adapter::EntryRecord> knownEntries_; ///< by key
-    ServerList servers_;                                       ///< the last one known
-    ServerList page_;                                          ///< the one that is being read
-    std::map<std::string, std::uint64_t> invalidServers_;      ///< revision of the last registration told as invalid, by key
-    std::optional<TimePoint> serversKnownAt_;                  ///< the newest time as of which the list was known, here or by another entry
+    std::map<std::string, adapter::EntryRecord> registeredEntries_; ///< by store key
+    ServerList servers_;                                            ///< newest complete list
+    ServerList partialServers_;                                     ///< pages of the list that is being read
+    std::map<std::string, std::uint64_t> reportedInvalidServers_;   ///< revision of the last registration reported as invalid, by store key
+    std::optional<TimePoint> serversConfirmedAt_;                   ///< newest time as of which this entry or another one knew the list
     std::optional<TimePoint> outageEndedAt_;
-    std::optional<TimePoint> serversFailedAt_; ///< the last call for the list that failed
+    std::optional<TimePoint> lastServersFailureAt_; ///< time of the last failed call for the list
 
-    bool isRegistered_ = false; ///< or about to be
+    bool isRegistrationStarted_ = false; ///< registration has been requested
     std::uint64_t lease_ = 0;
-    Duration leaseTime_{}; ///< that the store granted
-    bool isWithdrawn_ = false;
+    Duration grantedLeaseDuration_{}; ///< may differ from the requested duration
+    bool isDeregistered_ = false;
 
     task::Watch leaseTimer_;
 };
--- a/src/gateway/directoryfollower.cpp
+++ b/src/gateway/directoryfollower.cpp
@@ -17,50 +17,50 @@
 namespace
 {
 
-/// A change of the store reaches every entry within this and the reader's own interval, a third of the least time in which
-/// a leaving server must get nothing new.
-constexpr Duration AskInterval = std::chrono::milliseconds(300);
-/// A reader answers within some milliseconds; without a byte for this long the next one is asked.
+/// A change of the store reaches every entry within this interval plus the reader's own one, together a third of the shortest time
+/// within which a leaving server must stop receiving new requests.
+constexpr Duration QueryInterval = std::chrono::milliseconds(300);
+/// A reader responds within milliseconds. After this time without a byte the next one is queried.
 constexpr Duration SilenceTimeout = std::chrono::milliseconds(350);
-/// Of an answer as long as its bytes come: lists of 600 servers and 330 entries are 100 KB, which a third of the entries get from
-/// one link of 25 MB/s in 0.44 s when all of them start.
+/// Timeout of a response whose bytes keep arriving. Lists of 600 servers and 330 entries are 100 KB, which a third of the entries
+/// receive over one link of 25 MB/s in 0.44 s when all of them start at once.
 constexpr Duration AnswerTimeout = std::chrono::milliseconds(1500);
-/// A reader whose own confirmation is older is cut off from the store, or the store is away: the next one is asked. In the
-/// normal course it is up to 1 s old.
-constexpr Duration OldConfirmation = std::chrono::milliseconds(1600);
-static_assert(2 * ConfigurationWait < OldConfirmation, "readers that are well would be taken for unfit, one after the other");
+/// A reader whose own confirmation is older is cut off from the store, or the store is unavailable, and the next reader is queried.
+/// In normal operation the confirmation is up to 1 s old.
+constexpr Duration MaxConfirmationAge = std::chrono::milliseconds(1600);
+static_assert(2 * ConfigurationWatchTimeout < MaxConfirmationAge, "healthy readers would be considered unhealthy, one after the other");
 
-/// An entry that knows nothing yet asks sooner: the first answers decide how soon it can serve.
-constexpr Duration StartInterval = std::chrono::milliseconds(30);
-/// Entries that start together are there within some tens of milliseconds, but not all at once.
-constexpr Duration StartSilenceTimeout = std::chrono::milliseconds(100);
+/// An entry without any confirmation queries more often, because the first responses determine how soon it can serve.
+constexpr Duration StartupQueryInterval = std::chrono::milliseconds(30);
+/// Entries that start together become reachable within tens of milliseconds of each other.
+constexpr Duration StartupSilenceTimeout = std::chrono::milliseconds(100);
 
 constexpr int OkStatus = 200;
 
 } // namespace
 
-auto makeQuestion(const std::string &reader, const DirectoryTags &known) -> http::Request
+auto makeDirectoryRequest(const std::string &reader, const DirectoryTags &known) -> http::Request
 {
     const auto path = std::string(DirectoryPath) + "?servers=" + std::to_string(known.servers) + "&entries=" + std::to_string(known.entries);
     return { .address = reader, .path = path, .timeout = AnswerTimeout, .silenceTimeout = SilenceTimeout, .isIdempotent = true };
 }
 
-auto readQuestion(const std::map<std::string, std::string> &query) -> DirectoryTags
+auto parseDirectoryQuery(const std::map<std::string, std::string> &query) -> DirectoryTags
 {
     return { .servers = detail::readQueryNumber(query, "servers"), .entries = detail::readQueryNumber(query, "entries") };
 }
 
-DirectoryFollower::DirectoryFollower(task::EventLoop &loop, const DirectoryTags &known, std::size_t spread, DirectoryCallbacks callbacks)
+DirectoryFollower::DirectoryFollower(task::EventLoop &loop, const DirectoryTags &known, std::size_t startOffset, DirectoryCallbacks callbacks)
     : loop_(loop)
     , callbacks_(std::move(callbacks))
     , known_(known)
-    , spread_(spread)
+    , startOffset_(startOffset)
     , client_(loop)
     , documents_(loop,
                  client_,
-                 spread,
+                 startOffset,
                  {
-                     .onDocument = [this](const ConfigurationRead &read) { callbacks_.onConfiguration(read); },
+                     .onDocument = [this](const ConfigurationSnapshot &read) { callbacks_.onConfiguration(read); },
                      .onPartFailed = [this](std::string_view peer, const std::string &detail) { callbacks_.onPartFailed(peer, detail); },
                  })
 {
@@ -83,108 +83,109 @@
         isScheduled_ = false;
         return;
     }
-    current_ = spread_ % readers_.size();
-    dropQuestion();
-    if (!isUnderWay_ && !isScheduled_) {
-        ask();
+    current_ = startOffset_ % readers_.size();
+    cancelObsoleteQuery();
+    if (!isInFlight_ && !isScheduled_) {
+        sendQuery();
     }
 }
 
-/// A question to one that is not to be asked any more may be waiting for a VM that is gone.
-auto DirectoryFollower::dropQuestion() -> void
+/// A query to an entry that is no longer a reader may be waiting for a lost VM.
+auto DirectoryFollower::cancelObsoleteQuery() -> void
 {
-    if (isUnderWay_ && std::find(readers_.begin(), readers_.end(), asked_) == readers_.end()) {
-        client_.cancel(question_);
-        isUnderWay_ = false;
+    if (isInFlight_ && std::find(readers_.begin(), readers_.end(), queriedReader_) == readers_.end()) {
+        client_.cancel(query_);
+        isInFlight_ = false;
     }
 }
 
-auto DirectoryFollower::knowsNothing() const -> bool
+auto DirectoryFollower::hasNoConfirmation() const -> bool
 {
     return confirmedAt_ == TimePoint();
 }
 
-auto DirectoryFollower::ask() -> void
+auto DirectoryFollower::sendQuery() -> void
 {
     isScheduled_ = false;
-    isUnderWay_ = true;
-    asked_ = readers_.at(current_);
-    auto question = makeQuestion(asked_, known_);
-    if (knowsNothing()) {
-        question.silenceTimeout = StartSilenceTimeout;
+    isInFlight_ = true;
+    queriedReader_ = readers_.at(current_);
+    auto request = makeDirectoryRequest(queriedReader_, known_);
+    if (hasNoConfirmation()) {
+        request.silenceTimeout = StartupSilenceTimeout;
     }
-    question_ = client_.fetch(question, [this, askedAt = now()](const http::Result &result) { takeResult(askedAt, result); });
+    query_ = client_.fetch(request, [this, requestedAt = now()](const http::Result &result) { handleResult(requestedAt, result); });
 }
 
-/// The pause is the same after a good answer and a bad one: where all are bad, the search for a better one must not become a flood.
-auto DirectoryFollower::takeResult(TimePoint askedAt, const http::Result &result) -> void
+/// The interval is the same after healthy and unhealthy responses: if all readers are unhealthy, the search must not flood them.
+auto DirectoryFollower::handleResult(TimePoint requestedAt, const http::Result &result) -> void
 {
-    isUnderWay_ = false;
-    const auto reader = asked_;
-    const auto fitness = take(reader, askedAt, result);
+    isInFlight_ = false;
+    const auto reader = queriedReader_;
+    const auto health = handleResponse(reader, requestedAt, result);
     const auto isCurrent = !readers_.empty() && readers_.at(current_) == reader;
-    if (fitness != Fitness::Fit && isCurrent) {
+    if (health != ReaderHealth::Healthy && isCurrent) {
         current_ = (current_ + 1) % readers_.size();
     }
     if (!readers_.empty()) {
         isScheduled_ = true;
-        timer_ = loop_.after(knowsNothing() ? StartInterval : AskInterval, [this]() { ask(); });
+        timer_ = loop_.after(hasNoConfirmation() ? StartupQueryInterval : QueryInterval, [this]() { sendQuery(); });
     }
-    // the answer may change whom to ask
-    if (fitness != Fitness::Starting) {
-        callbacks_.onAsked(reader, fitness == Fitness::Fit);
+    // the callback may change the readers
+    if (health != ReaderHealth::Starting) {
+        callbacks_.onReaderChecked(reader, health == ReaderHealth::Healthy);
     }
 }
 
-auto DirectoryFollower::take(const std::string &reader, TimePoint askedAt, const http::Result &result) -> Fitness
+auto DirectoryFollower::handleResponse(const std::string &reader, TimePoint requestedAt, const http::Result &result) -> ReaderHealth
 {
     if (const auto *error = std::get_if<http::Error>(&result)) {
-        noteReachable(reader, false, error->text);
-        return Fitness::Unfit;
+        reportReachability(reader, false, error->text);
+        return ReaderHealth::Unhealthy;
     }
     const auto &response = std::get<http::Response>(result);
     if (response.status != OkStatus) {
-        noteReachable(reader, false, "status " + std::to_string(response.status));
-        return Fitness::Unfit;
+        reportReachability(reader, false, "status " + std::to_string(response.status));
+        return ReaderHealth::Unhealthy;
     }
     try {
         const auto answer = decodeAnswer(response.body);
-        noteReachable(reader, true, "");
+        reportReachability(reader, true, "");
         answeredAt_ = now();
-        return apply(answer, askedAt);
+        return apply(answer, requestedAt);
     } catch (const std::runtime_error &error) {
         callbacks_.onInvalid("directory", error.what());
-        return Fitness::Unfit;
+        return ReaderHealth::Unhealthy;
     }
 }
 
-/// The reader's age counts from the moment of asking: a reader that was suspended on the way can only make the configuration
-/// look older than it is. It confirms the reader's configuration, so it says nothing while that one is still to be fetched.
-auto DirectoryFollower::apply(const DirectoryAnswer &answer, TimePoint askedAt) -> Fitness
+/// Ages in the response are subtracted from the time of the request, so a reader that was suspended in between can only make the
+/// configuration look older than it is. The confirmation refers to the reader's configuration, so it is ignored while that
+/// configuration still has to be fetched.
+auto DirectoryFollower::apply(const DirectoryAnswer &answer, TimePoint requestedAt) -> ReaderHealth
 {
     if (answer.configuration && answer.configuration->revision > known_.configuration) {
-        callbacks_.onOffered(answer.configuration->revision);
-        documents_.want(*answer.configuration);
+        callbacks_.onConfigurationOffered(answer.configuration->revision);
+        documents_.fetch(*answer.configuration);
     }
     if (answer.confirmedAge && answer.configuration && answer.configuration->revision == known_.configuration) {
-        confirmedAt_ = std::max(confirmedAt_, askedAt - *answer.confirmedAge);
-        callbacks_.onConfirmed(askedAt - *answer.confirmedAge);
+        confirmedAt_ = std::max(confirmedAt_, requestedAt - *answer.confirmedAge);
+        callbacks_.onConfigurationConfirmed(requestedAt - *answer.confirmedAge);
     }
-    applyServers(answer, askedAt);
-    applyEntries(answer, askedAt);
+    applyServers(answer, requestedAt);
+    applyEntries(answer, requestedAt);
     if (!answer.confirmedAge || !answer.serversAge) {
-        return Fitness::Starting;
+        return ReaderHealth::Starting;
     }
-    return std::max(*answer.confirmedAge, *answer.serversAge) < OldConfirmation ? Fitness::Fit : Fitness::Unfit;
+    return std::max(*answer.confirmedAge, *answer.serversAge) < MaxConfirmationAge ? ReaderHealth::Healthy : ReaderHealth::Unhealthy;
 }
 
-auto DirectoryFollower::applyServers(const DirectoryAnswer &answer, TimePoint askedAt) -> void
+auto DirectoryFollower::applyServers(const DirectoryAnswer &answer, TimePoint requestedAt) -> void
 {
     if (!answer.serversAge) {
         return;
     }
-    const auto asOf = askedAt - *answer.serversAge;
-    const auto outageEndedAt = answer.outageAge ? std::optional(askedAt - *answer.outageAge) : std::nullopt;
+    const auto asOf = requestedAt - *answer.serversAge;
+    const auto outageEndedAt = answer.outageAge ? std::optional(requestedAt - *answer.outageAge) : std::nullopt;
     if (answer.servers) {
         callbacks_.onServers({
             .servers = unpackServers(*answer.servers),
@@ -193,7 +194,7 @@
             .outageEndedAt = outageEndedAt,
         });
     } else if (answer.serverChanges) {
-        callbacks_.onServersChanged({
+        callbacks_.onServersDelta({
             .changes = *answer.serverChanges,
             .tag = answer.serversTag,
             .revision = answer.serversRevision,
@@ -205,14 +206,14 @@
     }
 }
 
-/// Failure: the asked entry was cut off from the others and hears only some of them. Symptom: whoever asks it takes the rest for dead.
-/// Its list is from before by then, and is not taken over.
-auto DirectoryFollower::applyEntries(const DirectoryAnswer &answer, TimePoint askedAt) -> void
+/// Failure: the queried entry was partitioned from the others and receives heartbeats of only some of them. Symptom: entries that query
+/// it consider the rest dead. Its list is outdated by then, so an old list is not applied.
+auto DirectoryFollower::applyEntries(const DirectoryAnswer &answer, TimePoint requestedAt) -> void
 {
     if (!answer.entriesAge || *answer.entriesAge > fleet::MemberAge) {
         return;
     }
-    const auto asOf = askedAt - *answer.entriesAge;
+    const auto asOf = requestedAt - *answer.entriesAge;
     if (answer.entries) {
         callbacks_.onEntries(unpackEntries(*answer.entries), asOf);
     } else {
@@ -220,7 +221,7 @@
     }
 }
 
-auto DirectoryFollower::noteReachable(const std::string &reader, bool reachable, const std::string &detail) -> void
+auto DirectoryFollower::reportReachability(const std::string &reader, bool reachable, const std::string &detail) -> void
 {
     if (std::exchange(reachable_, reachable) != reachable) {
         callbacks_.onReachable(reader, reachable, "ask-directory", detail);
--- a/src/gateway/directoryfollower.h
+++ b/src/gateway/directoryfollower.h
@@ -1,5 +1,5 @@
 /// \file
-/// Learns the directory from the entries that read the store.
+/// Keeps the directory up to date by querying the entries that read the store.
 
 #pragma once
 
@@ -20,53 +20,55 @@
 class DirectoryFollower
 {
 public:
-    /// \p known: what this entry has already; must outlive it. \p spread: which of the entries is asked first, so that not all
-    /// ask the same one: 63 entries that fetched 290 KB from one of three at once had 139 KB each after 350 ms.
-    DirectoryFollower(task::EventLoop &loop, const DirectoryTags &known, std::size_t spread, DirectoryCallbacks callbacks);
+    /// \p known: tags of the data that this entry already has; must outlive the follower. \p startOffset selects the reader that is
+    /// queried first, so that entries spread over the readers: when 63 entries fetched 290 KB from one of three readers at once,
+    /// each had received 139 KB after 350 ms.
+    DirectoryFollower(task::EventLoop &loop, const DirectoryTags &known, std::size_t startOffset, DirectoryCallbacks callbacks);
 
-    /// Asks one of these entries several times a second, the next one when one is not fit; none: stops asking.
+    /// Queries one of these entries several times a second and moves to the next one when it is unhealthy. An empty list stops the
+    /// queries.
     auto follow(std::vector<std::string> readers) -> void;
 
-    /// Time of the last answer of any kind; long ago if there was none.
+    /// Time of the last valid response; the epoch if there was none.
     [[nodiscard]] auto answeredAt() const -> TimePoint;
 
 private:
-    auto ask() -> void;
-    auto dropQuestion() -> void;
-    [[nodiscard]] auto knowsNothing() const -> bool;
-    auto takeResult(TimePoint askedAt, const http::Result &result) -> void;
-    /// What an answer shows of the entry that was asked.
-    enum class Fitness {
-        Fit,
-        Starting, ///< it knows nothing yet
-        Unfit,    ///< it is silent, or has had nothing fresh from the store
+    auto sendQuery() -> void;
+    auto cancelObsoleteQuery() -> void;
+    [[nodiscard]] auto hasNoConfirmation() const -> bool;
+    auto handleResult(TimePoint requestedAt, const http::Result &result) -> void;
+    /// State of the queried entry as its response shows it.
+    enum class ReaderHealth {
+        Healthy,
+        Starting,  ///< it has not read the store yet
+        Unhealthy, ///< it does not respond, or its data of the store is stale
     };
-    auto take(const std::string &reader, TimePoint askedAt, const http::Result &result) -> Fitness;
-    auto apply(const DirectoryAnswer &answer, TimePoint askedAt) -> Fitness;
-    auto applyServers(const DirectoryAnswer &answer, TimePoint askedAt) -> void;
-    auto applyEntries(const DirectoryAnswer &answer, TimePoint askedAt) -> void;
-    auto noteReachable(const std::string &reader, bool reachable, const std::string &detail) -> void;
+    auto handleResponse(const std::string &reader, TimePoint requestedAt, const http::Result &result) -> ReaderHealth;
+    auto apply(const DirectoryAnswer &answer, TimePoint requestedAt) -> ReaderHealth;
+    auto applyServers(const DirectoryAnswer &answer, TimePoint requestedAt) -> void;
+    auto applyEntries(const DirectoryAnswer &answer, TimePoint requestedAt) -> void;
+    auto reportReachability(const std::string &reader, bool reachable, const std::string &detail) -> void;
 
     task::EventLoop &loop_;
     DirectoryCallbacks callbacks_;
     const DirectoryTags &known_;
-    std::size_t spread_;
+    std::size_t startOffset_;
     http::Client client_;
     DocumentFetcher documents_;
     std::vector<std::string> readers_;
     std::size_t current_ = 0;
-    std::string asked_; ///< the reader to which a question is under way
-    http::Handle question_{};
-    bool isUnderWay_ = false;
-    bool isScheduled_ = false; ///< the next question
+    std::string queriedReader_; ///< the reader to which a query is in flight
+    http::Handle query_{};
+    bool isInFlight_ = false;
+    bool isScheduled_ = false; ///< the timer for the next query is set
     TimePoint confirmedAt_;
     TimePoint answeredAt_;
     bool reachable_ = true;
     task::Watch timer_;
 };
 
-/// The question, and what the asked entry reads from it.
-auto makeQuestion(const std::string &reader, const DirectoryTags &known) -> http::Request;
-auto readQuestion(const std::map<std::string, std::string> &query) -> DirectoryTags;
+/// Creates the request for a directory query, and parses it on the queried entry.
+auto makeDirectoryRequest(const std::string &reader, const DirectoryTags &known) -> http::Request;
+auto parseDirectoryQuery(const std::map<std::string, std::string> &query) -> DirectoryTags;
 
 } // namespace auburnspread::gateway
--- a/src/gateway/directorypage.cpp
+++ b/src/gateway/directorypage.cpp
@@ -15,7 +15,7 @@
 constexpr auto CborType = "application/cbor";
 constexpr auto BytesType = "application/octet-stream";
 
-/// 330 entries may ask the same one, each over two connections: one for its questions, one for the parts of a document.
+/// 330 entries may query the same one, each over two connections: one for directory queries, one for the parts of a document.
 constexpr http::ServerOptions PageOptions{ .connections = 1024 };
 
 } // namespace
@@ -24,11 +24,11 @@
     : server_(loop, PageOptions)
 {
     server_.route(std::string(DirectoryPath), [&state](const http::IncomingRequest &request, const http::Replier &replier) {
-        replier.reply(OkStatus, CborType, encodeAnswer(makeAnswer(state, readQuestion(request.query), now())));
+        replier.reply(OkStatus, CborType, encodeAnswer(makeAnswer(state, parseDirectoryQuery(request.query), now())));
     });
     server_.route(std::string(DocumentPath), [&state](const http::IncomingRequest &request, const http::Replier &replier) {
-        const auto question = readPartQuestion(request.query);
-        const auto part = readPart(state.configurations, question.tag, question.from);
+        const auto partQuery = parsePartQuery(request.query);
+        const auto part = readPart(state.configurations, partQuery.tag, partQuery.from);
         replier.reply(part ? OkStatus : NotFoundStatus, BytesType, part.value_or(std::string_view()));
     });
 }
--- a/src/gateway/directorypage.h
+++ b/src/gateway/directorypage.h
@@ -1,5 +1,5 @@
 /// \file
-/// Answers other entries about the directory as this entry knows it.
+/// HTTP endpoint from which other entries query this entry's copy of the directory.
 
 #pragma once
 
@@ -12,17 +12,17 @@
 namespace auburnspread::gateway
 {
 
-/// Where an entry answers others about the directory. The path names the form of the answer: an entry of a version with another form
-/// answers 404, and the next one or the store is asked.
+/// Path of directory queries. It also identifies the response format: an entry whose version uses another format responds 404, and the
+/// querying entry turns to the next reader or to the store.
 constexpr std::string_view DirectoryPath = "/directory/summary";
 
 class DirectoryPage
 {
 public:
-    /// \p state must outlive it.
+    /// \p state must outlive the page.
     DirectoryPage(task::EventLoop &loop, const DirectoryState &state);
 
-    /// Throws if the address can't be bound. \return the address in use
+    /// Throws if the address cannot be bound. \return the bound address
     auto listen(const std::string &address) -> std::string;
 
 private:
--- a/src/gateway/directorystate.cpp
+++ b/src/gateway/directorystate.cpp
@@ -23,7 +23,7 @@
     return { server.id, server.service, server.address, server.failureDomain, server.slots, server.isLeaving, server.isPreemptible, server.startedAt };
 }
 
-auto toServer(const json &item) -> passthrough::Server
+auto serverFromJson(const json &item) -> passthrough::Server
 {
     return {
         .id = item.at(0).get<std::string>(),
@@ -62,8 +62,8 @@
     return items;
 }
 
-/// Lists longer than this are of no fleet.
-constexpr std::size_t MostListBytes = std::size_t{ 4 } * 1024 * 1024;
+/// Longest list that is unpacked; no real fleet has a longer one.
+constexpr std::size_t MaxListBytes = std::size_t{ 4 } * 1024 * 1024;
 
 template <typename Item>
 auto packList(const std::vector<Item> &items) -> PackedList
@@ -76,9 +76,9 @@
 template <typename Item, typename Convert>
 auto unpackList(const PackedList &list, Convert convert) -> std::vector<Item>
 {
-    const auto bytes = list.size > MostListBytes ? std::nullopt : text::unpack(list.bytes, list.size);
+    const auto bytes = list.size > MaxListBytes ? std::nullopt : text::unpack(list.bytes, list.size);
     if (!bytes) {
-        throw std::runtime_error("directory answer: a list can't be unpacked");
+        throw std::runtime_error("directory answer: a list cannot be unpacked");
     }
     try {
         return listFromJson<Item>(json::from_cbor(*bytes), convert);
@@ -100,32 +100,32 @@
 
 } // namespace
 
-auto takeConfiguration(DirectoryState &state, const ConfigurationRead &read) -> void
+auto applyConfiguration(DirectoryState &state, const ConfigurationSnapshot &read) -> void
 {
     if (read.revision <= state.tags.configuration) {
         return;
     }
-    noteConfigurationRead(state, read.revision);
-    state.configurations.insert(state.configurations.begin(), makeOffered(read));
-    state.configurations.resize(std::min(state.configurations.size(), KeptDocuments));
+    recordConfigurationRead(state, read.revision);
+    state.configurations.insert(state.configurations.begin(), makeOfferedDocument(read));
+    state.configurations.resize(std::min(state.configurations.size(), MaxKeptDocuments));
 }
 
-auto noteConfigurationRead(DirectoryState &state, std::uint64_t revision) -> void
+auto recordConfigurationRead(DirectoryState &state, std::uint64_t revision) -> void
 {
     state.tags.configuration = std::max(state.tags.configuration, revision);
     state.offeredAt.erase(state.offeredAt.begin(), state.offeredAt.upper_bound(revision));
 }
 
-auto takeConfirmed(DirectoryState &state, TimePoint asOf) -> void
+auto applyConfirmation(DirectoryState &state, TimePoint asOf) -> void
 {
     state.confirmedAt = std::max(state.confirmedAt.value_or(asOf), asOf);
     std::erase_if(state.offeredAt, [asOf](const auto &offer) { return offer.second < asOf; });
 }
 
-auto takeOffer(DirectoryState &state, std::uint64_t revision, TimePoint now) -> bool
+auto recordOffer(DirectoryState &state, std::uint64_t revision, TimePoint now) -> bool
 {
-    constexpr std::size_t MostRemembered = 100; // of changes that come while one is on its way; the oldest counts
-    if (revision <= state.tags.configuration || state.offeredAt.size() >= MostRemembered) {
+    constexpr std::size_t MaxOffers = 100; // offers recorded while a configuration is being fetched; the oldest one determines outdatedSince()
+    if (revision <= state.tags.configuration || state.offeredAt.size() >= MaxOffers) {
         return false;
     }
     return state.offeredAt.try_emplace(revision, now).second;
@@ -139,7 +139,7 @@
 namespace
 {
 
-auto noteServersRead(DirectoryState &state, std::uint64_t revision, TimePoint asOf, std::optional<TimePoint> outageEndedAt) -> void
+auto recordServersRead(DirectoryState &state, std::uint64_t revision, TimePoint asOf, std::optional<TimePoint> outageEndedAt) -> void
 {
     state.serversRevision = revision;
     state.serversAt = std::max(state.serversAt.value_or(asOf), asOf);
@@ -150,45 +150,45 @@
 
 } // namespace
 
-auto takeServers(DirectoryState &state, const ServersRead &read) -> std::optional<ServerChanges>
+auto applyServers(DirectoryState &state, const ServersSnapshot &read) -> std::optional<ServerChanges>
 {
     if (read.revision < state.serversRevision) {
         return std::nullopt;
     }
     auto servers = read.servers;
     sortServers(servers);
-    auto changes = findChanges(state.servers, servers);
+    auto changes = diffServers(state.servers, servers);
     if (!state.serversAt || !isEmpty(changes)) {
         if (state.tags.servers != 0) {
-            noteChanges(state.serverLog, state.tags.servers, changes);
+            appendChanges(state.serverLog, state.tags.servers, changes);
         }
         state.servers = std::move(servers);
         state.tags.servers = tagOf(state.servers);
     }
-    noteServersRead(state, read.revision, read.asOf, read.outageEndedAt);
+    recordServersRead(state, read.revision, read.asOf, read.outageEndedAt);
     return changes;
 }
 
-auto takeServersChanged(DirectoryState &state, const ServersChanged &change) -> bool
+auto applyServersDelta(DirectoryState &state, const ServersDelta &change) -> bool
 {
     if (tagAfter(state.servers, state.tags.servers, change.changes) != change.tag) {
         return false;
     }
-    noteChanges(state.serverLog, state.tags.servers, change.changes);
+    appendChanges(state.serverLog, state.tags.servers, change.changes);
     applyChanges(state.servers, change.changes);
     state.tags.servers = change.tag;
-    noteServersRead(state, change.revision, change.asOf, change.outageEndedAt);
+    recordServersRead(state, change.revision, change.asOf, change.outageEndedAt);
     return true;
 }
 
-auto takeEntriesConfirmed(DirectoryState &state, TimePoint asOf) -> void
+auto confirmEntries(DirectoryState &state, TimePoint asOf) -> void
 {
     state.entriesAt = std::max(state.entriesAt.value_or(asOf), asOf);
 }
 
-auto takeEntries(DirectoryState &state, const std::vector<fleet::EntryRecord> &alive, TimePoint asOf) -> bool
+auto applyEntries(DirectoryState &state, const std::vector<fleet::EntryRecord> &alive, TimePoint asOf) -> bool
 {
-    takeEntriesConfirmed(state, asOf);
+    confirmEntries(state, asOf);
     if (alive == state.entries) {
         return false;
     }
@@ -201,7 +201,7 @@
 namespace
 {
 
-auto packedServers(const DirectoryState &state) -> const PackedList &
+auto getPackedServers(const DirectoryState &state) -> const PackedList &
 {
     if (state.packedServersTag != state.tags.servers) {
         state.packedServers = packList(state.servers);
@@ -228,7 +228,7 @@
         answer.serversTag = state.tags.servers;
         answer.serverChanges = changesSince(state.serverLog, known.servers);
         if (!answer.serverChanges) {
-            answer.servers = packedServers(state);
+            answer.servers = getPackedServers(state);
         }
         const auto isRecent = state.outageEndedAt && now - *state.outageEndedAt < passthrough::ReturnTime;
         answer.outageAge = isRecent ? std::optional(now - *state.outageEndedAt) : std::nullopt;
@@ -297,7 +297,7 @@
         if (document.contains("server_changes")) {
             const auto &changes = document.at("server_changes");
             answer.serversTag = changes.at(0);
-            answer.serverChanges = ServerChanges{ .changed = listFromJson<passthrough::Server>(changes.at(1), toServer), .removed = changes.at(2) };
+            answer.serverChanges = ServerChanges{ .changed = listFromJson<passthrough::Server>(changes.at(1), serverFromJson), .removed = changes.at(2) };
         }
         if (document.contains("outage_age")) {
             answer.outageAge = Duration(document.at("outage_age").get<Duration::rep>());
@@ -332,7 +332,7 @@
 
 auto unpackServers(const PackedList &list) -> std::vector<passthrough::Server>
 {
-    return unpackList<passthrough::Server>(list, toServer);
+    return unpackList<passthrough::Server>(list, serverFromJson);
 }
 
 auto unpackEntries(const PackedList &list) -> std::vector<fleet::EntryRecord>
--- a/src/gateway/documentfetcher.cpp
+++ b/src/gateway/documentfetcher.cpp
@@ -15,30 +15,30 @@
 constexpr int OkStatus = 200;
 constexpr int NotFoundStatus = 404;
 
-/// Without a byte for this long the next entry is asked; see PartBytes for what a part takes.
+/// After this time without a byte the next entry is asked. See PartBytes for how long a part takes.
 constexpr Duration SilenceTimeout = std::chrono::milliseconds(350);
-/// Of one part as long as its bytes come: 8 KB/s, less than a hundredth of a link of 10 Mbit/s.
+/// Timeout of one part whose bytes keep arriving. It allows for 8 KB/s, less than a hundredth of a link of 10 Mbit/s.
 constexpr Duration PartTimeout = std::chrono::seconds(4);
-/// After a part that did not come; the fault may have struck all connections.
-constexpr Duration FailurePause = std::chrono::milliseconds(100);
+/// Delay after a part that was not received, as the fault may affect all connections.
+constexpr Duration RetryDelay = std::chrono::milliseconds(100);
 
 } // namespace
 
-auto makePartQuestion(const std::string &reader, const PartQuestion &question) -> http::Request
+auto makePartRequest(const std::string &reader, const PartQuery &partQuery) -> http::Request
 {
-    const auto path = std::string(DocumentPath) + "?tag=" + std::to_string(question.tag) + "&from=" + std::to_string(question.from);
+    const auto path = std::string(DocumentPath) + "?tag=" + std::to_string(partQuery.tag) + "&from=" + std::to_string(partQuery.from);
     return { .address = reader, .path = path, .timeout = PartTimeout, .silenceTimeout = SilenceTimeout, .isIdempotent = true };
 }
 
-auto readPartQuestion(const std::map<std::string, std::string> &query) -> PartQuestion
+auto parsePartQuery(const std::map<std::string, std::string> &query) -> PartQuery
 {
     return { .tag = detail::readQueryNumber(query, "tag"), .from = detail::readQueryNumber(query, "from") };
 }
 
-DocumentFetcher::DocumentFetcher(task::EventLoop &loop, http::Client &client, std::size_t spread, DocumentCallbacks callbacks)
+DocumentFetcher::DocumentFetcher(task::EventLoop &loop, http::Client &client, std::size_t startOffset, DocumentCallbacks callbacks)
     : loop_(loop)
     , client_(client)
-    , spread_(spread)
+    , startOffset_(startOffset)
     , callbacks_(std::move(callbacks))
 {
 }
@@ -49,127 +49,127 @@
         return;
     }
     readers_ = std::move(readers);
-    round_ += 1;
+    generation_ += 1;
     timer_ = {};
     if (readers_.empty()) {
         transfer_.reset();
-        waiting_.reset();
+        pendingOffer_.reset();
         return;
     }
-    current_ = spread_ % readers_.size();
+    current_ = startOffset_ % readers_.size();
     if (transfer_) {
-        askNext();
+        requestNextPart();
     }
 }
 
-auto DocumentFetcher::want(const DocumentOffer &offer) -> void
+auto DocumentFetcher::fetch(const DocumentOffer &offer) -> void
 {
-    if (readers_.empty() || offer.revision <= lastRevision_ || std::max(offer.bytes, offer.documentBytes) > MostDocumentBytes) {
+    if (readers_.empty() || offer.revision <= lastDeliveredRevision_ || std::max(offer.bytes, offer.documentBytes) > MaxDocumentBytes) {
         return;
     }
     if (!transfer_) {
-        begin(offer);
+        startTransfer(offer);
     } else if (offer.revision >= transfer_->offer.revision && offer != transfer_->offer) {
-        waiting_ = offer;
+        pendingOffer_ = offer;
     }
 }
 
-auto DocumentFetcher::begin(const DocumentOffer &offer) -> void
+auto DocumentFetcher::startTransfer(const DocumentOffer &offer) -> void
 {
     transfer_ = DocumentTransfer{ .offer = offer };
-    askNext();
+    requestNextPart();
 }
 
-auto DocumentFetcher::beginWaiting() -> void
+auto DocumentFetcher::startPendingTransfer() -> void
 {
     transfer_.reset();
-    if (const auto next = std::exchange(waiting_, std::nullopt)) {
-        begin(*next);
+    if (const auto next = std::exchange(pendingOffer_, std::nullopt)) {
+        startTransfer(*next);
     }
 }
 
-auto DocumentFetcher::askNext() -> void
+auto DocumentFetcher::requestNextPart() -> void
 {
     const auto &peer = readers_.at(current_);
-    const PartQuestion question{ .tag = transfer_->offer.tag, .from = transfer_->bytes.size() };
-    client_.fetch(makePartQuestion(peer, question), [this, peer, round = round_](const http::Result &result) {
-        if (round == round_) {
-            take(peer, result);
+    const PartQuery partQuery{ .tag = transfer_->offer.tag, .from = transfer_->bytes.size() };
+    client_.fetch(makePartRequest(peer, partQuery), [this, peer, generation = generation_](const http::Result &result) {
+        if (generation == generation_) {
+            handleResult(peer, result);
         }
     });
 }
 
-auto DocumentFetcher::take(const std::string &peer, const http::Result &result) -> void
+auto DocumentFetcher::handleResult(const std::string &peer, const http::Result &result) -> void
 {
     if (const auto *error = std::get_if<http::Error>(&result)) {
-        fail(peer, error->text);
+        handlePartFailure(peer, error->text);
         return;
     }
     const auto &response = std::get<http::Response>(result);
     if (response.status == NotFoundStatus) {
-        takeGone(peer);
+        handleMissingDocument(peer);
         return;
     }
     if (response.status != OkStatus) {
-        fail(peer, "status " + std::to_string(response.status));
+        handlePartFailure(peer, "status " + std::to_string(response.status));
         return;
     }
-    takeBytes(peer, response.body);
+    handlePart(peer, response.body);
 }
 
-auto DocumentFetcher::takeBytes(const std::string &peer, std::string_view part) -> void
+auto DocumentFetcher::handlePart(const std::string &peer, std::string_view part) -> void
 {
-    switch (takePart(*transfer_, part)) {
-    case PartOutcome::More:
-        askNext();
+    switch (appendPart(*transfer_, part)) {
+    case PartOutcome::Incomplete:
+        requestNextPart();
         break;
-    case PartOutcome::Whole:
-        finish();
+    case PartOutcome::Complete:
+        finishTransfer();
         break;
-    case PartOutcome::Spoilt:
-        fail(peer, "not the bytes that were offered");
+    case PartOutcome::Corrupt:
+        handlePartFailure(peer, "received bytes do not match the offer");
         break;
     }
 }
 
-/// What came is kept, and the next entry is asked for the rest.
-auto DocumentFetcher::fail(const std::string &peer, const std::string &detail) -> void
+/// Received bytes are kept, and the next entry is asked for the rest.
+auto DocumentFetcher::handlePartFailure(const std::string &peer, const std::string &detail) -> void
 {
-    askLater();
+    retryWithNextReader();
     callbacks_.onPartFailed(peer, detail);
 }
 
-/// An entry that has started since, or has had several newer ones, has the document no more. Where another one is offered, the one
-/// that may be gone everywhere is given up.
-auto DocumentFetcher::takeGone(const std::string &peer) -> void
+/// An entry that has restarted or received several newer documents no longer has this one. If a newer document is offered, the transfer
+/// of the old one, which may be gone everywhere, is aborted.
+auto DocumentFetcher::handleMissingDocument(const std::string &peer) -> void
 {
-    if (waiting_) {
-        beginWaiting();
+    if (pendingOffer_) {
+        startPendingTransfer();
         return;
     }
-    askLater();
+    retryWithNextReader();
     callbacks_.onPartFailed(peer, "no such document");
 }
 
-auto DocumentFetcher::askLater() -> void
+auto DocumentFetcher::retryWithNextReader() -> void
 {
     current_ = (current_ + 1) % readers_.size();
-    timer_ = loop_.after(FailurePause, [this]() { askNext(); });
+    timer_ = loop_.after(RetryDelay, [this]() { requestNextPart(); });
 }
 
-auto DocumentFetcher::finish() -> void
+auto DocumentFetcher::finishTransfer() -> void
 {
-    const auto round = round_;
-    lastRevision_ = transfer_->offer.revision;
+    const auto generation = generation_;
+    lastDeliveredRevision_ = transfer_->offer.revision;
     auto whole = *std::exchange(transfer_, std::nullopt);
-    if (const auto document = readDocument(std::move(whole))) {
+    if (const auto document = unpackDocument(std::move(whole))) {
         callbacks_.onDocument(*document);
     } else {
-        callbacks_.onPartFailed(readers_.at(current_), "the document can't be unpacked");
+        callbacks_.onPartFailed(readers_.at(current_), "the document cannot be unpacked");
     }
-    // taking the document over may have changed whom to ask
-    if (round == round_ && !transfer_) {
-        beginWaiting();
+    // the callback may have changed the readers
+    if (generation == generation_ && !transfer_) {
+        startPendingTransfer();
     }
 }
 
--- a/src/gateway/documentfetcher.h
+++ b/src/gateway/documentfetcher.h
@@ -1,5 +1,5 @@
 /// \file
-/// Fetches the operators' configuration from other entries, part by part.
+/// Fetches the operators' configuration from other entries, one part at a time.
 
 #pragma once
 
@@ -20,58 +20,59 @@
 namespace auburnspread::gateway
 {
 
-/// Where an entry sends parts of a document to others.
+/// Path under which an entry serves parts of a document to other entries.
 constexpr std::string_view DocumentPath = "/directory/document";
 
 struct DocumentCallbacks {
-    std::function<void(const ConfigurationRead &read)> onDocument;
-    /// One part did not come; the next entry is asked for it.
+    std::function<void(const ConfigurationSnapshot &read)> onDocument;
+    /// A part was not received; the next entry is asked for it.
     std::function<void(std::string_view peer, const std::string &detail)> onPartFailed;
 };
 
 class DocumentFetcher
 {
 public:
-    /// \p client must outlive it. \p spread: which of the entries is asked first.
-    DocumentFetcher(task::EventLoop &loop, http::Client &client, std::size_t spread, DocumentCallbacks callbacks);
+    /// \p client must outlive the fetcher. \p startOffset selects the reader that is asked first.
+    DocumentFetcher(task::EventLoop &loop, http::Client &client, std::size_t startOffset, DocumentCallbacks callbacks);
 
-    /// Whom to ask from now on; none: what was begun is dropped.
+    /// Sets the entries to fetch from. An empty list aborts the current transfer.
     auto setReaders(std::vector<std::string> readers) -> void;
-    /// One of the entries has this document. A transfer that has begun goes on first, for as long as somebody has its document.
-    auto want(const DocumentOffer &offer) -> void;
+    /// Fetches a document that one of the entries offers. A transfer that has started continues first, as long as an entry still has
+    /// its document.
+    auto fetch(const DocumentOffer &offer) -> void;
 
 private:
-    auto askNext() -> void;
-    auto take(const std::string &peer, const http::Result &result) -> void;
-    auto takeBytes(const std::string &peer, std::string_view part) -> void;
-    auto fail(const std::string &peer, const std::string &detail) -> void;
-    auto takeGone(const std::string &peer) -> void;
-    auto askLater() -> void;
-    auto finish() -> void;
-    auto begin(const DocumentOffer &offer) -> void;
-    auto beginWaiting() -> void;
+    auto requestNextPart() -> void;
+    auto handleResult(const std::string &peer, const http::Result &result) -> void;
+    auto handlePart(const std::string &peer, std::string_view part) -> void;
+    auto handlePartFailure(const std::string &peer, const std::string &detail) -> void;
+    auto handleMissingDocument(const std::string &peer) -> void;
+    auto retryWithNextReader() -> void;
+    auto finishTransfer() -> void;
+    auto startTransfer(const DocumentOffer &offer) -> void;
+    auto startPendingTransfer() -> void;
 
     task::EventLoop &loop_;
     http::Client &client_;
-    std::size_t spread_;
+    std::size_t startOffset_;
     DocumentCallbacks callbacks_;
     std::vector<std::string> readers_;
     std::size_t current_ = 0;
-    std::uint64_t round_ = 0; ///< answers to questions of an earlier one are dropped
+    std::uint64_t generation_ = 0; ///< incremented when the readers change; responses to requests of an earlier generation are dropped
     std::optional<DocumentTransfer> transfer_;
-    std::optional<DocumentOffer> waiting_; ///< offered since the transfer began
-    std::uint64_t lastRevision_ = 0;       ///< of the last document told; not fetched twice, also if it could not be read
+    std::optional<DocumentOffer> pendingOffer_; ///< newest offer received since the transfer started
+    std::uint64_t lastDeliveredRevision_ = 0;   ///< of the last document received; it is not fetched again, even if it could not be unpacked
     task::Watch timer_;
 };
 
-/// \name The question for a part, and what the asked entry reads from it
+/// \name Request for one part of a document, and its parsing on the queried entry
 /// @{
-struct PartQuestion {
+struct PartQuery {
     std::uint64_t tag = 0;
     std::uint64_t from = 0;
 };
-auto makePartQuestion(const std::string &reader, const PartQuestion &question) -> http::Request;
-auto readPartQuestion(const std::map<std::string, std::string> &query) -> PartQuestion;
+auto makePartRequest(const std::string &reader, const PartQuery &partQuery) -> http::Request;
+auto parsePartQuery(const std::map<std::string, std::string> &query) -> PartQuery;
 /// @}
 
 } // namespace auburnspread::gateway
--- a/src/gateway/documenttransfer.cpp
+++ b/src/gateway/documenttransfer.cpp
@@ -9,7 +9,7 @@
 namespace auburnspread::gateway
 {
 
-auto makeOffered(const ConfigurationRead &read) -> OfferedDocument
+auto makeOfferedDocument(const ConfigurationSnapshot &read) -> OfferedDocument
 {
     OfferedDocument offered{ .bytes = read.packed.empty() ? text::pack(read.document) : read.packed };
     offered.offer = {
@@ -30,27 +30,27 @@
     return std::string_view(found->bytes).substr(from, PartBytes);
 }
 
-auto takePart(DocumentTransfer &transfer, std::string_view part) -> PartOutcome
+auto appendPart(DocumentTransfer &transfer, std::string_view part) -> PartOutcome
 {
     transfer.bytes += part;
     const auto isComplete = transfer.bytes.size() >= transfer.offer.bytes;
     if (!part.empty() && !isComplete) {
-        return PartOutcome::More;
+        return PartOutcome::Incomplete;
     }
     if (transfer.bytes.size() == transfer.offer.bytes && detail::contentTag(transfer.bytes) == transfer.offer.tag) {
-        return PartOutcome::Whole;
+        return PartOutcome::Complete;
     }
     transfer.bytes.clear();
-    return PartOutcome::Spoilt;
+    return PartOutcome::Corrupt;
 }
 
-auto readDocument(DocumentTransfer transfer) -> std::optional<ConfigurationRead>
+auto unpackDocument(DocumentTransfer transfer) -> std::optional<ConfigurationSnapshot>
 {
     auto document = text::unpack(transfer.bytes, transfer.offer.documentBytes);
     if (!document) {
         return std::nullopt;
     }
-    return ConfigurationRead{ .document = std::move(*document), .revision = transfer.offer.revision, .packed = std::move(transfer.bytes) };
+    return ConfigurationSnapshot{ .document = std::move(*document), .revision = transfer.offer.revision, .packed = std::move(transfer.bytes) };
 }
 
 } // namespace auburnspread::gateway
--- a/src/gateway/documenttransfer.h
+++ b/src/gateway/documenttransfer.h
@@ -1,10 +1,10 @@
 /// \file
-/// The operators' configuration on its way from one entry to another, in parts.
+/// Transfer of the operators' configuration from one entry to another, in parts.
 ///
-/// Failure: the document is larger than a link carries within the time allowed for one answer, because the link is narrow or
-/// because all entries ask at once. Symptom: each answer is cut off and asked for anew, links stay full of bytes that nobody
-/// keeps, and the configuration is never in force. A part is small enough for any link, and each one that came is kept, whichever
-/// entry sent it: every answer brings the document nearer.
+/// Failure: the document is larger than what a link carries before the response times out, because the link is narrow or because
+/// all entries send requests at once. Symptom: each response is cut off and requested again, the links stay full of bytes that are
+/// discarded, and the configuration never comes into force. A part is small enough for any link, and every received part is kept,
+/// whichever entry sent it, so each response makes progress.
 
 #pragma once
 
@@ -18,60 +18,61 @@
 namespace auburnspread::gateway
 {
 
-/// A configuration as it was read, here or by another entry.
-struct ConfigurationRead {
+/// A configuration as it was read from the store, by this entry or another one.
+struct ConfigurationSnapshot {
     std::string document;       ///< as the operators wrote it
-    std::uint64_t revision = 0; ///< of the store; orders documents that come by different ways
-    std::string packed;         ///< as another entry sent it; empty: read from the store
+    std::uint64_t revision = 0; ///< store revision; orders documents received by different paths
+    std::string packed;         ///< compressed form in which another entry sent it; empty: read from the store
 };
 
-/// What an entry says of a document that it has.
+/// Description of a document that an entry offers to others.
 struct DocumentOffer {
-    std::uint64_t revision = 0; ///< see ConfigurationRead
-    std::uint64_t tag = 0;      ///< of the packed bytes; entries that offer the same one send the same parts
-    std::uint64_t bytes = 0;    ///< packed
-    std::uint64_t documentBytes = 0;
+    std::uint64_t revision = 0;      ///< see ConfigurationSnapshot
+    std::uint64_t tag = 0;           ///< content tag of the packed bytes; entries that offer the same tag send the same parts
+    std::uint64_t bytes = 0;         ///< size of the packed document
+    std::uint64_t documentBytes = 0; ///< size of the unpacked document
 
     auto operator==(const DocumentOffer &) const -> bool = default;
 };
 
-/// A document that is kept for other entries.
+/// A document that this entry offers to others.
 struct OfferedDocument {
     DocumentOffer offer;
-    std::string bytes; ///< packed
+    std::string bytes; ///< packed document
 };
 
-/// Bytes of one part. 330 entries that ask three at once for parts of this size have 3.6 MB before them at each, which its link
-/// of 25 MB/s sends in 144 ms; over a link of 10 Mbit/s a part takes 26 ms.
+/// Size of one part in bytes. When 330 entries request parts of this size from three readers at once, each reader has 3.6 MB to
+/// send, which takes 144 ms over its link of 25 MB/s. Over a link of 10 Mbit/s a part takes 26 ms.
 constexpr std::size_t PartBytes = 32768;
-/// A longer document is not fetched, packed or not: the store takes none of more than 1 MB.
-constexpr std::uint64_t MostDocumentBytes = 4UL * 1024 * 1024;
-/// Documents that are kept, the newest and those before it. Failure: changes follow each other faster than the document travels.
-/// Symptom: each is dropped half-way for the next one, and none arrives. A transfer that has begun can end while two more changes
-/// come, which is three times as long.
-constexpr std::size_t KeptDocuments = 3;
+/// Longer documents, packed or unpacked, are not fetched. The store accepts no document of more than 1 MB.
+constexpr std::uint64_t MaxDocumentBytes = 4UL * 1024 * 1024;
+/// Number of documents kept, the newest one and those before it. Failure: changes follow each other faster than a document can be
+/// transferred. Symptom: each transfer is dropped half-way for the next document, and none completes. With three documents, a
+/// transfer that has started can complete while two more changes arrive, so it has three times as long.
+constexpr std::size_t MaxKeptDocuments = 3;
 
-/// What came packed is offered as it came: entries that offer the same bytes can send each other's parts.
-auto makeOffered(const ConfigurationRead &read) -> OfferedDocument;
+/// A document received in packed form is offered unchanged, so that entries that offer the same bytes can replace each other during a
+/// transfer.
+auto makeOfferedDocument(const ConfigurationSnapshot &read) -> OfferedDocument;
 
-/// The next bytes of the document with this tag; nothing if it is not there (any more) or has no byte at \p from.
+/// The next part of the document with this tag, from offset \p from; nothing if the document is not kept or is not that long.
 auto readPart(const std::vector<OfferedDocument> &documents, std::uint64_t tag, std::uint64_t from) -> std::optional<std::string_view>;
 
-/// A document of which some parts have come.
+/// A partially received document.
 struct DocumentTransfer {
     DocumentOffer offer;
-    std::string bytes; ///< packed, so far
+    std::string bytes; ///< packed bytes received so far
 };
 
 enum class PartOutcome {
-    More,   ///< the next part is missing
-    Whole,  ///< all bytes are there, and they are the offered ones
-    Spoilt, ///< they are not; the transfer stands at its beginning again
+    Incomplete, ///< further parts are missing
+    Complete,   ///< all bytes were received, and they match the offer
+    Corrupt,    ///< the bytes do not match the offer; the transfer restarts from the beginning
 };
 
-auto takePart(DocumentTransfer &transfer, std::string_view part) -> PartOutcome;
+auto appendPart(DocumentTransfer &transfer, std::string_view part) -> PartOutcome;
 
-/// Of a transfer that is whole; nothing if its bytes do not unpack to what was offered.
-auto readDocument(DocumentTransfer transfer) -> std::optional<ConfigurationRead>;
+/// Unpacks a complete transfer; nothing if the document does not have the offered size.
+auto unpackDocument(DocumentTransfer transfer) -> std::optional<ConfigurationSnapshot>;
 
 } // namespace auburnspread::gateway
--- a/src/gateway/entryform.h
+++ b/src/gateway/entryform.h
@@ -1,5 +1,5 @@
 /// \file
-/// The form of an entry's record in what entries tell each other.
+/// Encoding of an entry's record in messages between entries.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 {
 
 auto entryToJson(const fleet::EntryRecord &entry) -> nlohmann::json;
-/// Throws nlohmann::json::exception for what is no record.
+/// Throws nlohmann::json::exception if \p item is not a valid record.
 auto entryFromJson(const nlohmann::json &item) -> fleet::EntryRecord;
 
 } // namespace auburnspread::gateway::detail
--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -16,33 +16,34 @@
 namespace
 {
 
-/// Whether this entry reads the store is looked at again this often, and whenever the entries change.
+/// Interval at which this entry re-evaluates whether it reads the store; it also does so whenever the entries change.
 constexpr Duration RoleInterval = std::chrono::milliseconds(250);
-/// An entry that starts and gets its configuration confirmed by no other one asks the store, each at a moment of its own.
-constexpr Duration ConfirmationPatience = std::chrono::milliseconds(300);
-constexpr Duration ConfirmationSpread = std::chrono::milliseconds(300);
-/// Between two writes of the list of entries.
-constexpr Duration RememberInterval = std::chrono::seconds(3);
-/// The remembered list is not told as fresh.
-constexpr Duration RememberedAge = std::chrono::seconds(10);
-/// After a list was remembered, this entry's part is looked at again.
-constexpr Duration RememberedCheck = std::chrono::milliseconds(45);
-/// Until then callers are told of no others: one of those that are remembered may be leaving, and who lives says so first.
-constexpr Duration RememberedSilence = std::chrono::milliseconds(150);
-/// An entry to which nobody answers for this long reads the store itself, so that it depends on no other entry; then again after
-/// a pause that doubles. An answer is due three times a second.
-constexpr Duration FollowPatience = std::chrono::milliseconds(2200);
-constexpr Duration LeastReadOncePause = std::chrono::milliseconds(800);
-constexpr Duration MostReadOncePause = std::chrono::milliseconds(3200);
-/// An entry that reads the store for others and whose last confirmation is older lets the next one try. In the normal course it is up
-/// to two watches old.
-constexpr Duration ReadPatience = std::chrono::milliseconds(1500);
-static_assert(2 * ConfigurationWait < ReadPatience, "a reader that is well would give up each second");
-/// A leader that does not read the store any more leads on for this long.
-constexpr Duration LeaderPatience = std::chrono::seconds(6);
-/// Between two lists of the entries that are alive: where many start at once, one list tells of several.
-constexpr Duration ListInterval = std::chrono::milliseconds(500);
-/// A leaving entry says so more than once, as datagrams get lost.
+/// A starting entry whose configuration no other entry confirms asks the store after this delay plus a jitter of its own.
+constexpr Duration ConfirmationDelay = std::chrono::milliseconds(300);
+constexpr Duration ConfirmationJitter = std::chrono::milliseconds(300);
+/// Minimum interval between two writes of the list of entries to the store.
+constexpr Duration SnapshotInterval = std::chrono::seconds(3);
+/// Age that is assumed for the saved list of entries, so that it does not count as fresh.
+constexpr Duration SnapshotAge = std::chrono::seconds(10);
+/// Delay after which this entry's role is re-evaluated when the saved list was read.
+constexpr Duration SnapshotRoleCheckDelay = std::chrono::milliseconds(45);
+/// For this long after its start, an entry that knows only the saved list names no other entries to callers: a saved entry may be
+/// leaving, and live entries send a heartbeat within this time.
+constexpr Duration SnapshotAddressHoldback = std::chrono::milliseconds(150);
+/// An entry that receives no response for this long reads the store itself, so that it depends on no other entry. It then repeats the
+/// read at an interval that doubles. Normally it receives three responses a second.
+constexpr Duration IsolationTimeout = std::chrono::milliseconds(2200);
+constexpr Duration MinOwnReadInterval = std::chrono::milliseconds(800);
+constexpr Duration MaxOwnReadInterval = std::chrono::milliseconds(3200);
+/// An entry that reads the store for others hands over to the next one when its last confirmation is older than this. In normal
+/// operation the confirmation is up to two watches old.
+constexpr Duration MaxOwnConfirmationAge = std::chrono::milliseconds(1500);
+static_assert(2 * ConfigurationWatchTimeout < MaxOwnConfirmationAge, "a healthy reader would give up every second");
+/// A leader that no longer reads the store stays eligible for this long.
+constexpr Duration LeaderGracePeriod = std::chrono::seconds(6);
+/// Minimum interval between two published lists of live entries. Where many entries start at once, one list covers several of them.
+constexpr Duration PublishInterval = std::chrono::milliseconds(500);
+/// A leaving entry sends its last heartbeat several times, as datagrams may get lost.
 constexpr int LeavingHeartbeats = 3;
 auto recordOf(const GatewaySettings &settings) -> fleet::EntryRecord
 {
@@ -68,18 +69,18 @@
                  {
                      .store = settings.storeAddress,
                      .self = self_,
-                     .leaseTime = settings.leaseTime,
+                     .leaseDuration = settings.leaseTime,
                  },
                  directoryCallbacks())
     , follower_(loop, known_.tags, XXH64(self_.name.data(), self_.name.size(), 0), directoryCallbacks())
     , peers_(
           loop,
           settings.peerAddress,
-          [this](const PeerMessage &message) { takePeerMessage(message); },
+          [this](const PeerMessage &message) { handlePeerMessage(message); },
           [this](const std::string &detail) { accounting_.inputInvalid("peer", detail); })
     , caches_(loop,
               {
-                  .onListed = [this](const passthrough::CacheListed &listed) { takeCacheList(listed); },
+                  .onListed = [this](const passthrough::CacheListed &listed) { handleCacheList(listed); },
                   .onFailed = [this](std::string_view server, const std::string &detail) { accounting_.cacheNotListed(server, detail); },
               })
     , directoryPage_(loop, known_)
@@ -93,11 +94,11 @@
 auto Fleet::start() -> void
 {
     callbacks_.onEvent(passthrough::EntriesCounted{ .isGuess = true });
-    directory_.readOutdated();
-    const auto spread = XXH64(self_.name.data(), self_.name.size(), 0) % static_cast<std::uint64_t>(ConfirmationSpread.count());
-    startConfirmation_ = loop_.after(ConfirmationPatience + Duration(static_cast<Duration::rep>(spread)), [this]() {
+    directory_.readStale();
+    const auto jitter = XXH64(self_.name.data(), self_.name.size(), 0) % static_cast<std::uint64_t>(ConfirmationJitter.count());
+    startupConfirmationTimer_ = loop_.after(ConfirmationDelay + Duration(static_cast<Duration::rep>(jitter)), [this]() {
         if (!known_.confirmedAt) {
-            directory_.confirmOnce();
+            directory_.confirmConfiguration();
         }
     });
     updateRole();
@@ -109,7 +110,7 @@
 
 auto Fleet::announce() -> void
 {
-    if (!std::exchange(serves_, true)) {
+    if (!std::exchange(isServing_, true)) {
         sendHeartbeat();
         updateRole();
     }
@@ -123,25 +124,25 @@
         peers_.send(heartbeat);
     }
     updateRole();
-    directory_.withdraw();
+    directory_.deregister();
 }
 
-auto Fleet::noteSent() -> void
+auto Fleet::recordDispatch() -> void
 {
-    reports_.noteSent();
+    reports_.recordDispatch();
 }
 
-auto Fleet::tellCrashes(const passthrough::CrashesHeard &crashes) -> void
+auto Fleet::sendCrashReport(const passthrough::CrashesHeard &crashes) -> void
 {
     peers_.send(crashes);
 }
 
-auto Fleet::noteBegun(const std::string &workspace, TimePoint at) -> void
+auto Fleet::recordStart(const std::string &workspace, TimePoint at) -> void
 {
     duties_.noteBegun(workspace, at);
 }
 
-auto Fleet::knowsServers() const -> bool
+auto Fleet::hasServerList() const -> bool
 {
     return known_.serversAt.has_value();
 }
@@ -151,7 +152,7 @@
     return now - known_.serversAt.value_or(TimePoint());
 }
 
-auto Fleet::others() const -> std::vector<fleet::EntryRecord>
+auto Fleet::otherEntries() const -> std::vector<fleet::EntryRecord>
 {
     auto entries = known_.entries.empty() ? role_.registered : known_.entries;
     std::erase_if(entries, [this](const fleet::EntryRecord &entry) { return entry.name == self_.name; });
@@ -161,10 +162,10 @@
 auto Fleet::otherAddresses() const -> std::vector<std::string>
 {
     std::vector<std::string> addresses;
-    if (role_.entriesAreOld && now() - role_.startedAt < RememberedSilence) {
+    if (role_.entriesAreOld && now() - role_.startedAt < SnapshotAddressHoldback) {
         return addresses;
     }
-    for (const auto &entry : others()) {
+    for (const auto &entry : otherEntries()) {
         addresses.push_back(entry.callerAddress);
     }
     return addresses;
@@ -178,18 +179,18 @@
 auto Fleet::directoryCallbacks() -> DirectoryCallbacks
 {
     return {
-        .onConfiguration = [this](const ConfigurationRead &read) { takeConfiguration(read); },
-        .onConfirmed = [this](TimePoint asOf) { takeConfirmed(asOf); },
-        .onOffered = [this](std::uint64_t revision) { takeOffer(revision); },
-        .onServers = [this](const ServersRead &read) { takeServers(read); },
-        .onServersChanged = [this](const ServersChanged &change) { takeServersChanged(change); },
-        .onServersConfirmed = [this](std::uint64_t revision, TimePoint asOf) { takeServersConfirmed(revision, asOf); },
-        .onEntries = [this](const std::vector<fleet::EntryRecord> &alive, TimePoint asOf) { takeEntries(alive, asOf); },
-        .onEntriesConfirmed = [this](TimePoint asOf) { gateway::takeEntriesConfirmed(known_, asOf); },
-        .onRegistrations = [this](const std::vector<fleet::EntryRecord> &registered) { takeRegistrations(registered); },
-        .onRegistrationsFailed = [this]() { takeRegistrations(role_.registered); },
-        .onRemembered = [this](const std::string &list) { takeRemembered(list); },
-        .onAsked = [this](const std::string &peer, bool isFit) { takeAsked(peer, isFit); },
+        .onConfiguration = [this](const ConfigurationSnapshot &read) { handleConfiguration(read); },
+        .onConfigurationConfirmed = [this](TimePoint asOf) { handleConfirmation(asOf); },
+        .onConfigurationOffered = [this](std::uint64_t revision) { handleOffer(revision); },
+        .onServers = [this](const ServersSnapshot &read) { handleServers(read); },
+        .onServersDelta = [this](const ServersDelta &change) { handleServersDelta(change); },
+        .onServersConfirmed = [this](std::uint64_t revision, TimePoint asOf) { handleServersConfirmed(revision, asOf); },
+        .onEntries = [this](const std::vector<fleet::EntryRecord> &alive, TimePoint asOf) { handleEntries(alive, asOf); },
+        .onEntriesConfirmed = [this](TimePoint asOf) { gateway::confirmEntries(known_, asOf); },
+        .onRegistrations = [this](const std::vector<fleet::EntryRecord> &registered) { handleRegistrations(registered); },
+        .onRegistrationsFailed = [this]() { handleRegistrations(role_.registered); },
+        .onEntriesSnapshot = [this](const std::string &list) { handleEntriesSnapshot(list); },
+        .onReaderChecked = [this](const std::string &peer, bool isHealthy) { handleReaderCheck(peer, isHealthy); },
         .onReachable =
             [this](std::string_view peer, bool reachable, std::string_view call, const std::string &detail) {
                 accounting_.dependencyReachable(peer, reachable, call, detail);
@@ -199,20 +200,20 @@
     };
 }
 
-auto Fleet::takeConfiguration(const ConfigurationRead &read) -> void
+auto Fleet::handleConfiguration(const ConfigurationSnapshot &read) -> void
 {
     try {
         const auto configuration = adapter::decodeConfiguration(read.document);
-        configurationUnderstood_ = true;
+        isConfigurationValid_ = true;
         const auto before = passthrough::statusOf(router_, now()).configurationVersion;
         callbacks_.onEvent(passthrough::ConfigurationAdopted{ .configuration = configuration });
         if (configuration.version < before) {
-            noteConfigurationRead(known_, read.revision);
+            recordConfigurationRead(known_, read.revision);
         } else {
-            gateway::takeConfiguration(known_, read);
-            directory_.noteConfiguration(read.revision);
+            gateway::applyConfiguration(known_, read);
+            directory_.recordConfigurationRevision(read.revision);
         }
-        tellOutdated();
+        publishOutdatedSince();
         if (configuration.version <= before) {
             return;
         }
@@ -226,58 +227,58 @@
         accounting_.configurationAdopted(configuration.version, read.document.size(), configuration.routes.size(), configuration.workspaces.size());
         callbacks_.onLimits(configuration.limits);
     } catch (const adapter::InvalidDocument &error) {
-        configurationUnderstood_ = false;
+        isConfigurationValid_ = false;
         accounting_.inputInvalid("configuration", error.what());
     }
 }
 
-/// A document that could not be read may take keys away: the configuration in force is not confirmed by it.
-auto Fleet::takeConfirmed(TimePoint asOf) -> void
+/// A document that could not be decoded may withdraw keys, so it does not confirm the configuration in force.
+auto Fleet::handleConfirmation(TimePoint asOf) -> void
 {
-    if (!configurationUnderstood_) {
+    if (!isConfigurationValid_) {
         return;
     }
-    gateway::takeConfirmed(known_, asOf);
+    gateway::applyConfirmation(known_, asOf);
     callbacks_.onEvent(passthrough::ConfigurationConfirmed{ .asOf = asOf });
-    tellOutdated();
+    publishOutdatedSince();
 }
 
-auto Fleet::takeOffer(std::uint64_t revision) -> void
+auto Fleet::handleOffer(std::uint64_t revision) -> void
 {
-    if (gateway::takeOffer(known_, revision, now())) {
+    if (gateway::recordOffer(known_, revision, now())) {
         accounting_.configurationOffered(revision);
-        tellOutdated();
+        publishOutdatedSince();
     }
 }
 
-auto Fleet::tellOutdated() -> void
+auto Fleet::publishOutdatedSince() -> void
 {
     callbacks_.onEvent(passthrough::ConfigurationOutdated{ .since = outdatedSince(known_) });
-    callbacks_.onChanged();
+    callbacks_.onReadinessChanged();
 }
 
-auto Fleet::takeServers(const ServersRead &read) -> void
+auto Fleet::handleServers(const ServersSnapshot &read) -> void
 {
-    const auto changes = gateway::takeServers(known_, read);
+    const auto changes = gateway::applyServers(known_, read);
     if (!changes) {
         return;
     }
     logServerChanges(*changes);
     callbacks_.onEvent(passthrough::ServersListed{ .servers = read.servers, .asOf = read.asOf, .outageEndedAt = read.outageEndedAt });
-    callbacks_.onChanged();
+    callbacks_.onReadinessChanged();
 }
 
-/// A change of another list than the known one is dropped, and the whole list is asked for.
-auto Fleet::takeServersChanged(const ServersChanged &change) -> void
+/// A delta that does not apply to the known list is dropped, and clearing the tag requests the whole list.
+auto Fleet::handleServersDelta(const ServersDelta &change) -> void
 {
     if (change.revision < known_.serversRevision) {
         return;
     }
-    if (!gateway::takeServersChanged(known_, change)) {
+    if (!gateway::applyServersDelta(known_, change)) {
         known_.tags.servers = 0;
         return;
     }
-    directory_.noteServersConfirmed(change.asOf);
+    directory_.recordServersConfirmed(change.asOf);
     logServerChanges(change.changes);
     callbacks_.onEvent(passthrough::ServersChanged{
         .changed = change.changes.changed,
@@ -285,23 +286,23 @@
         .asOf = change.asOf,
         .outageEndedAt = change.outageEndedAt,
     });
-    callbacks_.onChanged();
+    callbacks_.onReadinessChanged();
 }
 
-/// What was listed and has not changed was read again.
-auto Fleet::takeServersConfirmed(std::uint64_t revision, TimePoint asOf) -> void
+/// The known list was read again and has not changed.
+auto Fleet::handleServersConfirmed(std::uint64_t revision, TimePoint asOf) -> void
 {
     if (revision >= known_.serversRevision && known_.serversAt) {
         known_.serversRevision = revision;
         known_.serversAt = std::max(*known_.serversAt, asOf);
-        directory_.noteServersConfirmed(asOf);
+        directory_.recordServersConfirmed(asOf);
     }
 }
 
 auto Fleet::logServerChanges(const ServerChanges &changes) -> void
 {
     for (const auto &server : changes.changed) {
-        const auto [found, isNew] = servers_.try_emplace(server.id);
+        const auto [found, isNew] = loggedServers_.try_emplace(server.id);
         const auto before = std::exchange(found->second, { .service = server.service, .isLeaving = server.isLeaving, .startedAt = server.startedAt });
         if (isNew) {
             accounting_.serversChanged("joined", server.id, server.service);
@@ -313,7 +314,7 @@
         }
     }
     for (const auto &id : changes.removed) {
-        const auto gone = servers_.extract(id);
+        const auto gone = loggedServers_.extract(id);
         if (gone) {
             accounting_.serversChanged("unlisted", id, gone.mapped().service);
             callbacks_.onServerGone(id);
@@ -338,11 +339,11 @@
 
 } // namespace
 
-auto Fleet::takeEntries(std::vector<fleet::EntryRecord> alive, TimePoint asOf) -> void
+auto Fleet::handleEntries(std::vector<fleet::EntryRecord> alive, TimePoint asOf) -> void
 {
     fleet::dropLeaving(membership_, alive);
     role_.entriesAreOld = now() - asOf > fleet::MemberAge;
-    if (!gateway::takeEntries(known_, alive, asOf)) {
+    if (!gateway::applyEntries(known_, alive, asOf)) {
         return;
     }
     accounting_.entriesChanged(known_.entries.size());
@@ -353,88 +354,89 @@
     updateRole();
 }
 
-auto Fleet::takeRegistrations(const std::vector<fleet::EntryRecord> &registered) -> void
+auto Fleet::handleRegistrations(const std::vector<fleet::EntryRecord> &registered) -> void
 {
     role_.registered = registered;
     role_.registrationsAt = now();
     updateRole();
 }
 
-/// Failure: all entries restart together. Symptom: for a second nobody knows the others, each sends its requests as if it were alone, and
-/// callers get one address. The list from before the fault holds nearly all of them.
-auto Fleet::takeRemembered(const std::string &list) -> void
+/// Failure: all entries restart together. Symptom: for a second no entry knows the others, each one dispatches as if it were alone, and
+/// callers get only one address. The list saved before the restart contains nearly all of the entries.
+auto Fleet::handleEntriesSnapshot(const std::string &list) -> void
 {
     if (!known_.entries.empty()) {
         return;
     }
     try {
-        takeEntries(unpackEntries(decodeList(list)), now() - RememberedAge);
-        rememberedTimer_ = loop_.after(RememberedCheck, [this]() { updateRole(); });
+        handleEntries(unpackEntries(decodeList(list)), now() - SnapshotAge);
+        snapshotTimer_ = loop_.after(SnapshotRoleCheckDelay, [this]() { updateRole(); });
     } catch (const std::runtime_error &error) {
         accounting_.inputInvalid("remembered entries", error.what());
     }
 }
 
-auto Fleet::takeAsked(const std::string &peer, bool isFit) -> void
+auto Fleet::handleReaderCheck(const std::string &peer, bool isHealthy) -> void
 {
-    isFit ? fleet::noteFit(role_, peer, now()) : fleet::noteUnfit(role_, peer, now());
+    isHealthy ? fleet::noteFit(role_, peer, now()) : fleet::noteUnfit(role_, peer, now());
     updateRole();
 }
 
-/// Gives the entry its part: to read the store for others and to list the entries, or to ask those that do.
+/// Assigns this entry's role: to read the store and publish the list of entries, or to query the entries that do.
 auto Fleet::updateRole() -> void
 {
     const auto at = now();
-    checkOwnReading(at);
+    checkOwnStoreAccess(at);
     const auto reads = std::exchange(assignment_, fleet::assign(role_, at)).reads;
     if (assignment_.reads != reads) {
         accounting_.roleChanged(assignment_.reads, assignment_.ask.size() + (assignment_.reads ? 1 : 0));
     }
     if (assignment_.reads && !reads) {
-        readingSince_ = at;
-        fleet::beginCollecting(membership_, role_.entriesAreOld ? std::vector<fleet::EntryRecord>() : others(), at);
+        readerSince_ = at;
+        fleet::beginCollecting(membership_, role_.entriesAreOld ? std::vector<fleet::EntryRecord>() : otherEntries(), at);
     }
     if (assignment_.reads && !reads) {
-        directory_.noteServers(known_);
+        directory_.adoptServers(known_);
     }
-    directory_.setReading(assignment_.reads);
-    if (assignment_.reads && serves_) {
+    directory_.setReadsForPeers(assignment_.reads);
+    if (assignment_.reads && isServing_) {
         directory_.registerSelf();
     }
     if (assignment_.reads) {
-        readAt_ = at;
+        lastReaderAt_ = at;
     }
-    duties_.setEligible(mayLead(at));
+    duties_.setEligible(isEligibleLeader(at));
     follower_.follow(assignment_.reads ? std::vector<std::string>() : assignment_.ask);
-    listEntries(at);
-    checkAlone(at);
+    publishEntries(at);
+    readStoreIfIsolated(at);
     readCaches();
 }
 
-/// Failure: the readers change back and forth while the store is weak. Symptom: nobody leads for seconds after each change. A leader
-/// stays one for a while although another entry reads.
-auto Fleet::mayLead(TimePoint now) const -> bool
+/// Failure: the readers switch back and forth while the store is overloaded. Symptom: there is no leader for seconds after each switch.
+/// A leader therefore stays eligible for a grace period after another entry has taken over reading.
+auto Fleet::isEligibleLeader(TimePoint now) const -> bool
 {
-    const auto isReader = assignment_.reads || (duties_.leads() && now - readAt_ < LeaderPatience);
-    return isReader && serves_ && !role_.isLeaving;
+    const auto isReader = assignment_.reads || (duties_.leads() && now - lastReaderAt_ < LeaderGracePeriod);
+    return isReader && isServing_ && !role_.isLeaving;
 }
 
-/// Failure: an entry that reads the store for others is cut off from it. Symptom: it is the first in rank and never asks those that can.
-auto Fleet::checkOwnReading(TimePoint now) -> void
+/// Failure: an entry that reads the store for others is cut off from it. Symptom: it has the first rank and never queries the entries that
+/// can reach the store.
+auto Fleet::checkOwnStoreAccess(TimePoint now) -> void
 {
     if (!assignment_.reads) {
         return;
     }
     const auto &self = self_.peerAddress;
-    const auto heardAt = std::max(readingSince_, known_.confirmedAt.value_or(readingSince_));
-    if (now - heardAt > ReadPatience) {
+    const auto confirmedAt = std::max(readerSince_, known_.confirmedAt.value_or(readerSince_));
+    if (now - confirmedAt > MaxOwnConfirmationAge) {
         fleet::noteUnfit(role_, self, now);
     } else if (known_.confirmedAt) {
         fleet::noteFit(role_, self, now);
     }
 }
 
-auto Fleet::checkAlone(TimePoint now) -> void
+auto Fleet::readStoreIfIsolated(TimePoint now) -> void
 {
     if (assignment_.reads) {
         return;
@@ -442,51 +444,51 @@
     if (fleet::needsRegistrations(role_, now)) {
         directory_.readRegistrations();
     }
-    if (now - std::max(follower_.answeredAt(), role_.startedAt) < FollowPatience) {
-        readOncePause_ = LeastReadOncePause;
+    if (now - std::max(follower_.answeredAt(), role_.startedAt) < IsolationTimeout) {
+        ownReadInterval_ = MinOwnReadInterval;
         return;
     }
-    if (now - readOnceAt_ >= readOncePause_) {
-        readOnceAt_ = now;
-        directory_.noteServers(known_);
-        readOncePause_ = std::min(2 * readOncePause_, MostReadOncePause);
+    if (now - lastOwnReadAt_ >= ownReadInterval_) {
+        lastOwnReadAt_ = now;
+        directory_.adoptServers(known_);
+        ownReadInterval_ = std::min(2 * ownReadInterval_, MaxOwnReadInterval);
         directory_.readOnce();
     }
 }
 
-/// The entries that this one hears, for those that ask it.
-auto Fleet::listEntries(TimePoint now) -> void
+/// Publishes the entries from which this one receives heartbeats, for entries that query it.
+auto Fleet::publishEntries(TimePoint now) -> void
 {
     fleet::expireMembers(membership_, now);
-    if (!assignment_.reads || now - listedAt_ < ListInterval) {
+    if (!assignment_.reads || now - entriesPublishedAt_ < PublishInterval) {
         return;
     }
     auto alive = fleet::listMembers(membership_, now);
     if (!alive) {
         return;
     }
-    listedAt_ = now;
-    if (serves_) {
+    entriesPublishedAt_ = now;
+    if (isServing_) {
         alive->push_back(self_);
     }
-    // entries that hear the same list the same
+    // readers that receive the same heartbeats publish the same list, with the same tag
     std::sort(alive->begin(), alive->end(), [](const fleet::EntryRecord &a, const fleet::EntryRecord &b) { return a.name < b.name; });
-    takeEntries(*alive, now);
-    rememberEntries(now);
+    handleEntries(*alive, now);
+    saveEntriesSnapshot(now);
 }
 
-auto Fleet::rememberEntries(TimePoint now) -> void
+auto Fleet::saveEntriesSnapshot(TimePoint now) -> void
 {
-    if (assignment_.isFirst && rememberedTag_ != known_.tags.entries && now - rememberedAt_ >= RememberInterval) {
-        rememberedTag_ = known_.tags.entries;
-        rememberedAt_ = now;
-        directory_.rememberEntries(encodeList(known_.packedEntries));
+    if (assignment_.isFirst && savedSnapshotTag_ != known_.tags.entries && now - snapshotSavedAt_ >= SnapshotInterval) {
+        savedSnapshotTag_ = known_.tags.entries;
+        snapshotSavedAt_ = now;
+        directory_.saveEntriesSnapshot(encodeList(known_.packedEntries));
     }
 }
 
 auto Fleet::sendHeartbeat() -> void
 {
-    if (serves_) {
+    if (isServing_) {
         peers_.sendTo(assignment_.heartbeatsTo, fleet::Heartbeat{ .entry = self_, .isLeaving = role_.isLeaving });
     }
     if (const auto usage = duties_.makeReport()) {
@@ -494,15 +496,15 @@
     }
 }
 
-auto Fleet::takeHeartbeat(const fleet::Heartbeat &heartbeat) -> void
+auto Fleet::handleHeartbeat(const fleet::Heartbeat &heartbeat) -> void
 {
     fleet::noteHeartbeat(membership_, heartbeat, now());
     if (heartbeat.isLeaving) {
-        takeEntries(known_.entries, known_.entriesAt.value_or(TimePoint()));
+        handleEntries(known_.entries, known_.entriesAt.value_or(TimePoint()));
     }
 }
 
-/// Once, as soon as engines and other entries are known.
+/// Reads the engines' caches once, as soon as engines and other entries are known.
 auto Fleet::readCaches() -> void
 {
     if (caches_.hasRead() || engineServices_.empty() || !known_.serversAt || known_.entries.empty()) {
@@ -517,19 +519,19 @@
     caches_.readOnce(engines, entries, self_.name);
 }
 
-auto Fleet::takeCacheList(const passthrough::CacheListed &listed) -> void
+auto Fleet::handleCacheList(const passthrough::CacheListed &listed) -> void
 {
     accounting_.cacheListed(listed);
     callbacks_.onEvent(listed);
 }
 
-auto Fleet::takePeerMessage(const PeerMessage &message) -> void
+auto Fleet::handlePeerMessage(const PeerMessage &message) -> void
 {
     if (const auto *report = std::get_if<passthrough::PeerReported>(&message)) {
-        reports_.hear(*report);
+        reports_.handleReport(*report);
         callbacks_.onEvent(*report);
     } else if (const auto *heartbeat = std::get_if<fleet::Heartbeat>(&message)) {
-        takeHeartbeat(*heartbeat);
+        handleHeartbeat(*heartbeat);
     } else if (const auto *usage = std::get_if<usage::Report>(&message)) {
         duties_.hear(*usage);
     } else {
--- a/src/gateway/fleet.h
+++ b/src/gateway/fleet.h
@@ -1,6 +1,6 @@
 /// \file
-/// What this entry shares with the rest of the fleet: the directory, which it reads from the store for others or asks others
-/// for, the heartbeats by which entries know of each other, and the reports of load.
+/// State that this entry shares with the rest of the fleet: the directory, which it reads from the store for other entries or
+/// queries from them, the heartbeats by which entries detect each other, and the load reports.
 
 #pragma once
 
@@ -34,64 +34,64 @@
 {
 
 struct FleetCallbacks {
-    std::function<void(const passthrough::Event &event)> onEvent; ///< for the decision core
+    std::function<void(const passthrough::Event &event)> onEvent; ///< input for the router
     std::function<void(const passthrough::CallerLimits &limits)> onLimits;
     std::function<void(const std::string &server)> onServerGone;
-    std::function<void()> onChanged; ///< this entry may have become able to serve, or no longer be
+    std::function<void()> onReadinessChanged; ///< this entry may have become ready to serve, or stopped being ready
 };
 
 class Fleet
 {
 public:
-    /// \p router and \p accounting must outlive it. Throws if an address can't be bound.
+    /// \p router and \p accounting must outlive the fleet. Throws if an address cannot be bound.
     Fleet(task::EventLoop &loop, const GatewaySettings &settings, passthrough::RouterState &router, Accounting &accounting, FleetCallbacks callbacks);
 
     auto start() -> void;
-    /// This entry serves from now on: the others may name it to callers.
+    /// Announces that this entry serves, so that the other entries may name it to callers.
     auto announce() -> void;
-    /// Out of the addresses, and of the entries that read the store, for good.
+    /// Removes this entry permanently from the addresses named to callers and from the entries that read the store.
     auto leave() -> void;
 
-    /// A request was sent to a backend server: the others are told soon.
-    auto noteSent() -> void;
-    auto tellCrashes(const passthrough::CrashesHeard &crashes) -> void;
-    /// A request of the workspace began to run on a backend server.
-    auto noteBegun(const std::string &workspace, TimePoint at) -> void;
+    /// Records that a request was sent to a backend server, which the next load report includes soon.
+    auto recordDispatch() -> void;
+    auto sendCrashReport(const passthrough::CrashesHeard &crashes) -> void;
+    /// Records that a request of the workspace started to run on a backend server.
+    auto recordStart(const std::string &workspace, TimePoint at) -> void;
 
-    [[nodiscard]] auto knowsServers() const -> bool;
+    [[nodiscard]] auto hasServerList() const -> bool;
     /// Age of the list of backend servers.
     [[nodiscard]] auto serversAge(TimePoint now) const -> Duration;
-    /// Addresses of the other entries, for callers.
+    /// Caller addresses of the other entries.
     [[nodiscard]] auto otherAddresses() const -> std::vector<std::string>;
     [[nodiscard]] auto storeCalls() const -> std::uint64_t;
 
 private:
     auto directoryCallbacks() -> DirectoryCallbacks;
-    auto takeConfiguration(const ConfigurationRead &read) -> void;
-    auto takeConfirmed(TimePoint asOf) -> void;
-    auto takeOffer(std::uint64_t revision) -> void;
-    auto tellOutdated() -> void;
-    auto takeServers(const ServersRead &read) -> void;
-    auto takeServersConfirmed(std::uint64_t revision, TimePoint asOf) -> void;
-    auto takeServersChanged(const ServersChanged &change) -> void;
+    auto handleConfiguration(const ConfigurationSnapshot &read) -> void;
+    auto handleConfirmation(TimePoint asOf) -> void;
+    auto handleOffer(std::uint64_t revision) -> void;
+    auto publishOutdatedSince() -> void;
+    auto handleServers(const ServersSnapshot &read) -> void;
+    auto handleServersConfirmed(std::uint64_t revision, TimePoint asOf) -> void;
+    auto handleServersDelta(const ServersDelta &change) -> void;
     auto logServerChanges(const ServerChanges &changes) -> void;
-    auto takeEntries(std::vector<fleet::EntryRecord> alive, TimePoint asOf) -> void;
-    auto takeRegistrations(const std::vector<fleet::EntryRecord> &registered) -> void;
-    auto takeRemembered(const std::string &list) -> void;
-    auto takeAsked(const std::string &peer, bool isFit) -> void;
-    auto takePeerMessage(const PeerMessage &message) -> void;
-    auto takeHeartbeat(const fleet::Heartbeat &heartbeat) -> void;
+    auto handleEntries(std::vector<fleet::EntryRecord> alive, TimePoint asOf) -> void;
+    auto handleRegistrations(const std::vector<fleet::EntryRecord> &registered) -> void;
+    auto handleEntriesSnapshot(const std::string &list) -> void;
+    auto handleReaderCheck(const std::string &peer, bool isHealthy) -> void;
+    auto handlePeerMessage(const PeerMessage &message) -> void;
+    auto handleHeartbeat(const fleet::Heartbeat &heartbeat) -> void;
 
-    [[nodiscard]] auto others() const -> std::vector<fleet::EntryRecord>;
+    [[nodiscard]] auto otherEntries() const -> std::vector<fleet::EntryRecord>;
     auto updateRole() -> void;
-    [[nodiscard]] auto mayLead(TimePoint now) const -> bool;
-    auto checkOwnReading(TimePoint now) -> void;
-    auto checkAlone(TimePoint now) -> void;
-    auto rememberEntries(TimePoint now) -> void;
-    auto listEntries(TimePoint now) -> void;
+    [[nodiscard]] auto isEligibleLeader(TimePoint now) const -> bool;
+    auto checkOwnStoreAccess(TimePoint now) -> void;
+    auto readStoreIfIsolated(TimePoint now) -> void;
+    auto saveEntriesSnapshot(TimePoint now) -> void;
+    auto publishEntries(TimePoint now) -> void;
     auto sendHeartbeat() -> void;
     auto readCaches() -> void;
-    auto takeCacheList(const passthrough::CacheListed &listed) -> void;
+    auto handleCacheList(const passthrough::CacheListed &listed) -> void;
 
     task::EventLoop &loop_;
     fleet::EntryRecord self_;
@@ -104,32 +104,32 @@
     PeerExchange peers_;
     CacheReader caches_;
     std::set<std::string> engineServices_;
-    DirectoryPage directoryPage_; ///< for other entries
+    DirectoryPage directoryPage_; ///< answers directory queries of other entries
 
     struct LoggedServer {
         std::string service;
         bool isLeaving = false;
         std::int64_t startedAt = 0;
     };
-    std::map<std::string, LoggedServer> servers_; ///< as last logged, by id
-    bool configurationUnderstood_ = false;        ///< the newest document told could be read
+    std::map<std::string, LoggedServer> loggedServers_; ///< by id, as last logged
+    bool isConfigurationValid_ = false;                 ///< the newest configuration received could be decoded
     LoadReports reports_;
     Duties duties_;
     fleet::Role role_;
-    fleet::Membership membership_; ///< as this entry hears the others, while it reads the store for them
+    fleet::Membership membership_; ///< entries from which this one receives heartbeats while it reads the store for them
     fleet::Assignment assignment_;
-    bool serves_ = false;
-    TimePoint listedAt_;     ///< the entries, by this entry
-    TimePoint readingSince_; ///< the store, for others
-    TimePoint readAt_;       ///< the same, until when
-    TimePoint readOnceAt_;
-    TimePoint rememberedAt_;
-    std::uint64_t rememberedTag_ = 0;
-    Duration readOncePause_{};
+    bool isServing_ = false;
+    TimePoint entriesPublishedAt_; ///< when this entry last published the list of entries
+    TimePoint readerSince_;        ///< when this entry started to read the store for others
+    TimePoint lastReaderAt_;       ///< when this entry last read the store for others
+    TimePoint lastOwnReadAt_;
+    TimePoint snapshotSavedAt_;
+    std::uint64_t savedSnapshotTag_ = 0;
+    Duration ownReadInterval_{};
     task::Watch heartbeats_;
     task::Watch roleTimer_;
-    task::Watch startConfirmation_;
-    task::Watch rememberedTimer_;
+    task::Watch startupConfirmationTimer_;
+    task::Watch snapshotTimer_;
 };
 
 } // namespace auburnspread::gateway
--- a/src/gateway/fuzztests/inputs_fuzz_tests.cpp
+++ b/src/gateway/fuzztests/inputs_fuzz_tests.cpp
@@ -57,16 +57,16 @@
 }
 
 /// Reads \p valid as it is and then spoilt; \p Refusal is the only error that may come.
-template <typename Refusal>
-auto readSpoilt(const std::string &valid, const std::function<void(const std::string &)> &read) -> void
+template <typename DeclaredError>
+auto readMutated(const std::string &valid, const std::function<void(const std::string &)> &read) -> void
 {
     ASSERT_NO_THROW(read(valid));
     auto mutator = makeMutator();
     for (auto round = 0; round < Rounds; ++round) {
-        const auto spoilt = mutator.mutate(valid);
+        const auto mutated = mutator.mutate(valid);
         try {
-            read(spoilt);
-        } catch (const Refusal &) {
+            read(mutated);
+        } catch (const DeclaredError &) {
             continue;
         }
     }
@@ -91,33 +91,33 @@
 
 TEST(InputsFuzzTests, configurations)
 {
-    readSpoilt<adapter::InvalidDocument>(makeConfigurationText(), [](const std::string &text) { adapter::decodeConfiguration(text); });
+    readMutated<adapter::InvalidDocument>(makeConfigurationText(), [](const std::string &text) { adapter::decodeConfiguration(text); });
 }
 
 TEST(InputsFuzzTests, registrationsOfServersAndEntries)
 {
-    readSpoilt<adapter::InvalidDocument>(makeServerText(), [](const std::string &text) { adapter::decodeServer(standins::serverKey("i-1"), text); });
+    readMutated<adapter::InvalidDocument>(makeServerText(), [](const std::string &text) { adapter::decodeServer(standins::serverKey("i-1"), text); });
     const auto entry = adapter::encodeEntry({ .name = "entry-1", .callerAddress = "127.0.0.1:80", .peerAddress = "127.0.0.1:90", .failureDomain = "a" });
-    readSpoilt<adapter::InvalidDocument>(entry, [](const std::string &text) { adapter::decodeEntry(text); });
+    readMutated<adapter::InvalidDocument>(entry, [](const std::string &text) { adapter::decodeEntry(text); });
 }
 
 TEST(InputsFuzzTests, answersOfTheStore)
 {
     const auto items = standins::itemsText(standins::serverKey("i-1"), makeServerText());
     ASSERT_TRUE(adapter::decodeItems({ .status = 200, .body = items }));
-    readSpoilt<NoError>(items, [](const std::string &text) { adapter::decodeItems({ .status = 200, .body = text }); });
-    readSpoilt<NoError>(standins::leaseText(7), [](const std::string &text) { adapter::decodeLease({ .status = 200, .body = text }); });
+    readMutated<NoError>(items, [](const std::string &text) { adapter::decodeItems({ .status = 200, .body = text }); });
+    readMutated<NoError>(standins::leaseText(7), [](const std::string &text) { adapter::decodeLease({ .status = 200, .body = text }); });
 }
 
 TEST(InputsFuzzTests, messagesOfOtherEntries)
 {
     const passthrough::PeerReported report{ .entry = "entry-2", .uses = { { .server = "i-1", .inFlight = 3, .unreadTokens = 4000, .waitingTokens = 5 } } };
-    readSpoilt<std::runtime_error>(encodePeerMessage(report), [](const std::string &bytes) { decodePeerMessage(bytes); });
+    readMutated<std::runtime_error>(encodePeerMessage(report), [](const std::string &bytes) { decodePeerMessage(bytes); });
     DirectoryState state;
-    takeConfiguration(state, { .document = makeConfigurationText(), .revision = 1 });
-    takeServers(state, { .servers = { { .id = "i-1", .service = "portal", .address = "127.0.0.1:80" } }, .revision = 3 });
+    applyConfiguration(state, { .document = makeConfigurationText(), .revision = 1 });
+    applyServers(state, { .servers = { { .id = "i-1", .service = "portal", .address = "127.0.0.1:80" } }, .revision = 3 });
     const auto answer = encodeAnswer(makeAnswer(state, {}, TimePoint(std::chrono::hours(1))));
-    readSpoilt<std::runtime_error>(answer, [](const std::string &bytes) { decodeAnswer(bytes); });
+    readMutated<std::runtime_error>(answer, [](const std::string &bytes) { decodeAnswer(bytes); });
 }
 
 TEST(InputsFuzzTests, headersOfCallersAndServers)
@@ -135,7 +135,7 @@
         }
         return headers;
     };
-    readSpoilt<NoError>(lines, [&](const std::string &text) {
+    readMutated<NoError>(lines, [&](const std::string &text) {
         const auto headers = split(text);
         passthrough::RequestArrived arrived;
         adapter::decodeCallerHeaders(headers, arrived);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -169,7 +169,7 @@
                 .onEvent = [this](const passthrough::Event &event) { apply(event); },
                 .onLimits = [this](const passthrough::CallerLimits &limits) { frontend.setLimits(limits); },
                 .onServerGone = [this](const std::string &server) { upstream.closeIdle(server); },
-                .onChanged = [this]() { checkReadiness(); },
+                .onReadinessChanged = [this]() { checkReadiness(); },
             })
     , pages(loop, { .readiness = settings.readinessAddress, .addresses = settings.addressesAddress, .metrics = settings.metricsAddress }, pagesCallbacks())
 {
@@ -233,7 +233,7 @@
     };
     accounting.sent(labelsOf(request), order);
     upstream.send(order, request.payload, request.callerId);
-    fleet.noteSent();
+    fleet.recordDispatch();
 }
 
 auto Gateway::Impl::run(const passthrough::Cancel &order) -> void
@@ -289,7 +289,7 @@
 auto Gateway::Impl::run(const passthrough::TellCrashes &order) -> void
 {
     accounting.crashCounted(order);
-    fleet.tellCrashes({ .fingerprint = order.fingerprint, .crashes = order.crashes });
+    fleet.sendCrashReport({ .fingerprint = order.fingerprint, .crashes = order.crashes });
 }
 
 auto Gateway::Impl::run(const passthrough::LimitChanged &change) -> void
@@ -333,7 +333,7 @@
 auto Gateway::Impl::countBegun(OpenAttempt &attempt) -> void
 {
     if (!std::exchange(attempt.isCounted, true)) {
-        fleet.noteBegun(attempt.workspace, attempt.isStream ? now() : attempt.sentAt);
+        fleet.recordStart(attempt.workspace, attempt.isStream ? now() : attempt.sentAt);
     }
 }
 
@@ -413,7 +413,7 @@
 auto Gateway::Impl::checkReadiness() -> void
 {
     const auto isFresh = passthrough::isFresh(*router, now());
-    const auto ready = isFresh && fleet.knowsServers() && !leaving;
+    const auto ready = isFresh && fleet.hasServerList() && !leaving;
     if (ready) {
         fleet.announce();
     }
@@ -438,7 +438,7 @@
 auto Gateway::Impl::addressesForCallers() const -> std::vector<std::string>
 {
     auto addresses = fleet.otherAddresses();
-    const auto isUsable = passthrough::isFresh(*router, now()) && fleet.knowsServers();
+    const auto isUsable = passthrough::isFresh(*router, now()) && fleet.hasServerList();
     if (!leaving && (isUsable || addresses.empty())) {
         addresses.push_back(settings.callerAddress);
     }
--- a/src/gateway/loadreports.cpp
+++ b/src/gateway/loadreports.cpp
@@ -12,16 +12,16 @@
 namespace
 {
 
-/// With more entries than this the reports are summed up; a sum of 60 servers takes about 1.6 KB.
-constexpr std::size_t MostDirectPeers = 12;
-/// A hub sends its sum to each entry once in this many reports, so that with two hubs each entry hears one with every report.
+/// With more peers than this, hubs sum up the reports. A sum of 60 servers takes about 1.6 KB.
+constexpr std::size_t MaxDirectPeers = 12;
+/// A hub sends its sum to each entry once in this many reports, so that with two hubs each entry receives one sum per report interval.
 constexpr int ReportsPerSum = 2;
-/// Where there are more servers a sum names as many as fit and is sent less often: it tells of the busiest ones, and each server gets fewer
-/// requests. Failure: a hub of a hundred entries sends megabytes a second, more than the links have.
-constexpr std::size_t ServersOfFrequentSum = 256;
-constexpr std::size_t MostSlowdown = 8;
-/// What is sent in the same moment is told in one report.
-constexpr Duration Gathering = std::chrono::milliseconds(2);
+/// With more servers than this, a sum contains only the busiest servers that fit and is sent less often, as each server gets fewer
+/// requests. Failure without this limit: a hub of a hundred entries sends megabytes a second, more than the links carry.
+constexpr std::size_t ServersPerFrequentSum = 256;
+constexpr std::size_t MaxSlowdown = 8;
+/// Dispatches within this time are combined in one report.
+constexpr Duration BatchWindow = std::chrono::milliseconds(2);
 
 } // namespace
 
@@ -36,21 +36,21 @@
 
 auto LoadReports::start() -> void
 {
-    reporter_ = loop_.every(passthrough::ReportInterval, [this]() {
+    reportTimer_ = loop_.every(passthrough::ReportInterval, [this]() {
         sendReport();
         sendSums();
     });
 }
 
-auto LoadReports::noteSent() -> void
+auto LoadReports::recordDispatch() -> void
 {
-    if (!std::exchange(reportsSoon_, true)) {
-        const auto due = reportedAt_ + passthrough::LeastReportInterval - now();
-        soonReporter_ = loop_.after(std::max(due, Gathering), [this]() { sendReport(); });
+    if (!std::exchange(isEarlyReportScheduled_, true)) {
+        const auto due = lastReportAt_ + passthrough::LeastReportInterval - now();
+        earlyReportTimer_ = loop_.after(std::max(due, BatchWindow), [this]() { sendReport(); });
     }
 }
 
-auto LoadReports::hear(const passthrough::PeerReported &report) -> void
+auto LoadReports::handleReport(const passthrough::PeerReported &report) -> void
 {
     if (report.scope == passthrough::ReportScope::Fleet) {
         fleet::noteSum(hubs_, report.entry, now());
@@ -60,18 +60,18 @@
 
 auto LoadReports::isLarge() const -> bool
 {
-    return peers_.peers() > MostDirectPeers;
+    return peers_.peerCount() > MaxDirectPeers;
 }
 
 auto LoadReports::sendReport() -> void
 {
-    reportsSoon_ = false;
-    soonReporter_ = {};
-    reportedAt_ = now();
+    isEarlyReportScheduled_ = false;
+    earlyReportTimer_ = {};
+    lastReportAt_ = now();
     chooseHubs();
     const auto report = passthrough::takeReport(router_);
     const auto hasUse = !report.uses.empty();
-    const auto isNews = std::exchange(reportedUse_, hasUse) || hasUse;
+    const auto isNews = std::exchange(hadUse_, hasUse) || hasUse;
     if (!isNews) {
         return;
     }
@@ -95,8 +95,9 @@
     isFirstHub_ = own == hubs.begin();
 }
 
-/// Failure: an entry knows only a part of the fleet, and takes another one for a hub. Symptom: its requests are in no sum. Whoever is
-/// taken for a hub tells those that are. A sum of another domain comes to one of the hubs, in turn, and is passed on to the other.
+/// Failure: an entry knows only a part of the fleet and sends its reports to an entry that is not a hub. Symptom: its requests are in no
+/// sum. An entry that receives such a report therefore relays it to the hubs. A sum of another failure domain is sent to one of the hubs,
+/// in turn, which relays it to the other one.
 auto LoadReports::relay(const passthrough::PeerReported &report) -> void
 {
     const auto isForHubs = report.scope == passthrough::ReportScope::FailureDomain || (report.scope == passthrough::ReportScope::Entry && !isHub_);
@@ -108,34 +109,34 @@
     peers_.sendTo(hubAddresses_, relayed);
 }
 
-/// The first of the hubs speaks for the failure domain; the other takes its place when it is silent.
+/// The hub of the first rank sends the failure domain's sum to other domains; the other hub takes over when the first one is silent.
 auto LoadReports::sendSums() -> void
 {
     if (!isHub_) {
         return;
     }
-    turn_ = (turn_ + 1) % reportsPerSum();
+    sumTurn_ = (sumTurn_ + 1) % reportsPerSum();
     if (isFirstHub_) {
-        const auto others = fleet::hubsOfOtherDomains(known_.entries, self_, static_cast<std::size_t>(turn_ % ReportsPerSum));
+        const auto others = fleet::hubsOfOtherDomains(known_.entries, self_, static_cast<std::size_t>(sumTurn_ % ReportsPerSum));
         peers_.sendTo(peerAddresses(others, self_), passthrough::takeSum(router_, passthrough::ReportScope::FailureDomain));
     }
-    peers_.sendTo(membersInTurn(), passthrough::takeSum(router_, passthrough::ReportScope::Fleet));
+    peers_.sendTo(nextSumRecipients(), passthrough::takeSum(router_, passthrough::ReportScope::Fleet));
 }
 
 auto LoadReports::reportsPerSum() const -> int
 {
-    const auto slowdown = (known_.servers.size() + ServersOfFrequentSum - 1) / ServersOfFrequentSum;
-    return ReportsPerSum * static_cast<int>(std::clamp<std::size_t>(slowdown, 1, MostSlowdown));
+    const auto slowdown = (known_.servers.size() + ServersPerFrequentSum - 1) / ServersPerFrequentSum;
+    return ReportsPerSum * static_cast<int>(std::clamp<std::size_t>(slowdown, 1, MaxSlowdown));
 }
 
-/// Of the failure domain.
-auto LoadReports::membersInTurn() const -> std::vector<std::string>
+/// Members of the failure domain that receive the next sum.
+auto LoadReports::nextSumRecipients() const -> std::vector<std::string>
 {
     std::vector<std::string> addresses;
     auto number = 0;
     for (const auto &entry : known_.entries) {
         const auto isMember = entry.failureDomain == self_.failureDomain && entry.name != self_.name;
-        if (isMember && number++ % reportsPerSum() == turn_) {
+        if (isMember && number++ % reportsPerSum() == sumTurn_) {
             addresses.push_back(entry.peerAddress);
         }
     }
--- a/src/gateway/loadreports.h
+++ b/src/gateway/loadreports.h
@@ -1,6 +1,6 @@
 /// \file
-/// Tells the other entries what this one has in flight, and, as a hub, what many have. In a small fleet each entry tells each other; in
-/// a large one, see hubs.h.
+/// Reports this entry's in-flight requests to the other entries and, as a hub, the sums of many entries. In a small fleet each entry
+/// reports to every other one; for large fleets see hubs.h.
 
 #pragma once
 
@@ -21,14 +21,14 @@
 class LoadReports
 {
 public:
-    /// \p router, \p peers and \p known must outlive it.
+    /// \p router, \p peers and \p known must outlive the reports.
     LoadReports(task::EventLoop &loop, passthrough::RouterState &router, PeerExchange &peers, const DirectoryState &known, fleet::EntryRecord self);
 
     auto start() -> void;
-    /// A request was sent to a backend server: the others are told soon.
-    auto noteSent() -> void;
-    /// A report came: passes it on where others need it.
-    auto hear(const passthrough::PeerReported &report) -> void;
+    /// Records that a request was sent to a backend server, and schedules a report soon.
+    auto recordDispatch() -> void;
+    /// Handles a received report: relays it to the hubs that need it.
+    auto handleReport(const passthrough::PeerReported &report) -> void;
 
 private:
     [[nodiscard]] auto isLarge() const -> bool;
@@ -36,7 +36,7 @@
     auto chooseHubs() -> void;
     auto relay(const passthrough::PeerReported &report) -> void;
     auto sendSums() -> void;
-    [[nodiscard]] auto membersInTurn() const -> std::vector<std::string>;
+    [[nodiscard]] auto nextSumRecipients() const -> std::vector<std::string>;
 
     task::EventLoop &loop_;
     passthrough::RouterState &router_;
@@ -45,16 +45,16 @@
     fleet::EntryRecord self_;
 
     fleet::Hubs hubs_;
-    std::vector<std::string> hubAddresses_; ///< of those other than this entry
+    std::vector<std::string> hubAddresses_; ///< peer addresses of the hubs other than this entry
     bool isHub_ = false;
-    bool isFirstHub_ = false;  ///< in rank
-    bool reportedUse_ = false; ///< the last report was not empty
+    bool isFirstHub_ = false; ///< this entry has the first rank among the hubs
+    bool hadUse_ = false;     ///< the last report contained in-flight requests
     [[nodiscard]] auto reportsPerSum() const -> int;
-    int turn_ = 0; ///< which part of the entries gets the sum next
-    TimePoint reportedAt_;
-    bool reportsSoon_ = false;
-    task::Watch reporter_;
-    task::Watch soonReporter_;
+    int sumTurn_ = 0; ///< which subset of the entries receives the sum next
+    TimePoint lastReportAt_;
+    bool isEarlyReportScheduled_ = false;
+    task::Watch reportTimer_;
+    task::Watch earlyReportTimer_;
 };
 
 /// Peer addresses without that of \p self.
--- a/src/gateway/peerexchange.cpp
+++ b/src/gateway/peerexchange.cpp
@@ -23,43 +23,43 @@
 
 using nlohmann::json;
 
-/// Datagrams beyond this are not sent whole by every network; a report of sixty servers takes about half.
-constexpr std::size_t MostDatagramBytes = 8192;
-/// Parts of prompts in one report; those beyond go into further ones.
-constexpr std::size_t MostParts = 300;
-/// \name Longest forms, in bytes
+/// Not every network transmits larger datagrams whole. A report of sixty servers takes about half of this size.
+constexpr std::size_t MaxDatagramBytes = 8192;
+/// Prompt parts in one report; further parts go into continuation messages.
+constexpr std::size_t MaxParts = 300;
+/// \name Maximum encoded sizes, in bytes
 /// @{
-constexpr std::size_t HeadBytes = 400;
+constexpr std::size_t HeaderBytes = 400;
 constexpr std::size_t UseBytes = 36;
-constexpr std::size_t LimitBytes = 17; ///< of a use, where its server has a limit
+constexpr std::size_t LimitBytes = 17; ///< additional size of a use whose server has a limit
 constexpr std::size_t PartBytes = 15;
 /// @}
 
-/// What still goes into one report.
-struct Room {
-    std::size_t bytes = MostDatagramBytes - HeadBytes;
-    std::size_t parts = MostParts;
+/// Space that is left in one report.
+struct RemainingSpace {
+    std::size_t bytes = MaxDatagramBytes - HeaderBytes;
+    std::size_t parts = MaxParts;
 };
 
-auto takeUse(Room &room, const passthrough::PeerReported::Use &use) -> void
+auto reserveUse(RemainingSpace &space, const passthrough::PeerReported::Use &use) -> void
 {
-    room.bytes -= std::min(room.bytes, UseBytes + (use.limit ? LimitBytes : 0));
+    space.bytes -= std::min(space.bytes, UseBytes + (use.limit ? LimitBytes : 0));
 }
 
-auto takePart(Room &room) -> bool
+auto tryReservePart(RemainingSpace &space) -> bool
 {
-    if (room.parts == 0 || room.bytes < PartBytes + UseBytes) {
+    if (space.parts == 0 || space.bytes < PartBytes + UseBytes) {
         return false;
     }
-    room.parts -= 1;
-    room.bytes -= PartBytes;
+    space.parts -= 1;
+    space.bytes -= PartBytes;
     return true;
 }
 
-/// Datagrams read before the loop goes on, so that a flood of them can't hold up callers.
-constexpr int MostReadsAtOnce = 64;
+/// Datagrams read before control returns to the event loop, so that a flood of datagrams cannot block callers.
+constexpr int MaxReadsPerWakeup = 64;
 
-/// Keys are short because a report goes to every entry several times a second.
+/// Parts are encoded as a flat list, because a report goes to every entry several times a second.
 auto partsToJson(const std::vector<passthrough::PromptPart> &parts) -> json
 {
     auto list = json::array();
@@ -84,8 +84,8 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/// Follows the use of a server that has a limit, or had one until lately.
-auto addLimit(json &use, const passthrough::PeerReported::Use &from) -> void
+/// Appends the limit fields to the use of a server that has a limit, or recently had one.
+auto appendLimit(json &use, const passthrough::PeerReported::Use &from) -> void
 {
     constexpr double AnyRate = -1;
     if (!from.limit && from.sentLately == 0) {
@@ -98,7 +98,7 @@
     }
 }
 
-auto takeLimit(const json &from, passthrough::PeerReported::Use &use) -> void
+auto readLimit(const json &from, passthrough::PeerReported::Use &use) -> void
 {
     constexpr std::size_t SentLately = 8;
     constexpr std::size_t Rate = 9;
@@ -124,7 +124,7 @@
                          use.shortPrompts,
                          toMilliseconds(use.ejectedFor),
                          partsToJson(use.sent) });
-        addLimit(uses.back(), use);
+        appendLimit(uses.back(), use);
     }
     auto arrivals = json::array();
     for (const auto &each : report.arrivals) {
@@ -166,7 +166,7 @@
     return { { "used", std::move(windows) }, { "entry", report.entry }, { "incarnation", report.incarnation }, { "current", report.current } };
 }
 
-auto toUsage(const json &document) -> usage::Report
+auto toUsageReport(const json &document) -> usage::Report
 {
     usage::Report report{
         .entry = document.at("entry").get<std::string>(),
@@ -182,7 +182,7 @@
 auto fromJson(const json &document) -> PeerMessage
 {
     if (document.contains("used")) {
-        return toUsage(document);
+        return toUsageReport(document);
     }
     if (document.contains("alive")) {
         return toHeartbeat(document);
@@ -213,13 +213,13 @@
             .ejectedFor = std::chrono::milliseconds(use.at(6).get<std::uint32_t>()),
             .sent = partsFromJson(use.at(7)),
         });
-        takeLimit(use, report.uses.back());
+        readLimit(use, report.uses.back());
     }
     return report;
 }
 
-/// A report of further parts of prompts, none yet.
-auto restOf(const passthrough::PeerReported &report) -> passthrough::PeerReported
+/// An empty continuation message for further prompt parts of the report.
+auto makeContinuation(const passthrough::PeerReported &report) -> passthrough::PeerReported
 {
     return {
         .entry = report.entry,
@@ -233,39 +233,39 @@
 
 } // namespace
 
-auto splitParts(const PeerMessage &message) -> std::vector<PeerMessage>
+auto splitIntoDatagrams(const PeerMessage &message) -> std::vector<PeerMessage>
 {
     const auto *report = std::get_if<passthrough::PeerReported>(&message);
     if (report == nullptr) {
         return { message };
     }
     auto first = *report;
-    std::vector<passthrough::PeerReported> rests;
-    Room room;
-    std::for_each(first.uses.begin(), first.uses.end(), [&room](const auto &use) { takeUse(room, use); });
+    std::vector<passthrough::PeerReported> continuations;
+    RemainingSpace space;
+    std::for_each(first.uses.begin(), first.uses.end(), [&space](const auto &use) { reserveUse(space, use); });
     for (auto &use : first.uses) {
         std::vector<passthrough::PromptPart> kept;
         for (const auto &part : use.sent) {
-            if (!takePart(room)) {
-                room = {};
-                takePart(room);
-                rests.push_back(restOf(first));
+            if (!tryReservePart(space)) {
+                space = {};
+                tryReservePart(space);
+                continuations.push_back(makeContinuation(first));
             }
-            if (rests.empty()) {
+            if (continuations.empty()) {
                 kept.push_back(part);
                 continue;
             }
-            auto &uses = rests.back().uses;
+            auto &uses = continuations.back().uses;
             if (uses.empty() || uses.back().server != use.server) {
                 uses.push_back({ .server = use.server });
-                takeUse(room, uses.back());
+                reserveUse(space, uses.back());
             }
             uses.back().sent.push_back(part);
         }
         use.sent = std::move(kept);
     }
     std::vector<PeerMessage> messages{ std::move(first) };
-    messages.insert(messages.end(), rests.begin(), rests.end());
+    messages.insert(messages.end(), continuations.begin(), continuations.end());
     return messages;
 }
 
@@ -312,7 +312,7 @@
     peers_ = std::move(addresses);
 }
 
-auto PeerExchange::peers() const -> std::size_t
+auto PeerExchange::peerCount() const -> std::size_t
 {
     return peers_.size();
 }
@@ -322,7 +322,7 @@
     sendTo(peers_, message);
 }
 
-auto PeerExchange::sendToPart(int part, int parts, const PeerMessage &message) -> void
+auto PeerExchange::sendToSubset(int part, int parts, const PeerMessage &message) -> void
 {
     std::vector<std::string> addresses;
     for (auto i = static_cast<std::size_t>(part); i < peers_.size(); i += static_cast<std::size_t>(parts)) {
@@ -333,33 +333,33 @@
 
 auto PeerExchange::sendTo(const std::vector<std::string> &addresses, const PeerMessage &message) -> void
 {
-    for (const auto &each : splitParts(message)) {
-        sendOne(addresses, each);
+    for (const auto &each : splitIntoDatagrams(message)) {
+        sendDatagram(addresses, each);
     }
 }
 
-auto PeerExchange::sendOne(const std::vector<std::string> &addresses, const PeerMessage &message) -> void
+auto PeerExchange::sendDatagram(const std::vector<std::string> &addresses, const PeerMessage &message) -> void
 {
     const auto bytes = encodePeerMessage(message);
-    if (bytes.size() > MostDatagramBytes) {
+    if (bytes.size() > MaxDatagramBytes) {
         onInvalid_("own message is too long: " + std::to_string(bytes.size()) + " bytes");
         return;
     }
     for (const auto &peer : addresses) {
         const auto endpoint = net::parseEndpoint(peer);
         if (!endpoint) {
-            continue; // its entry is registered wrongly, which was logged when the registration was read
+            continue; // the entry's registration is invalid, which was logged when it was read
         }
         const auto target = net::toSocketAddress(*endpoint);
-        // a datagram that can't be sent now is made good by the next report
+        // the next report makes up for a datagram that cannot be sent now
         ::sendto(descriptor_, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL, target.get(), target.size);
     }
 }
 
 auto PeerExchange::receive() -> void
 {
-    std::array<char, MostDatagramBytes> buffer{};
-    for (auto i = 0; i < MostReadsAtOnce; ++i) {
+    std::array<char, MaxDatagramBytes> buffer{};
+    for (auto i = 0; i < MaxReadsPerWakeup; ++i) {
         const auto length = ::recv(descriptor_, buffer.data(), buffer.size(), MSG_DONTWAIT);
         if (length < 0) {
             return;
--- a/src/gateway/peerexchange.h
+++ b/src/gateway/peerexchange.h
@@ -1,6 +1,6 @@
 /// \file
-/// Tells the other entries that this one is there and what it has in flight, by datagrams. A report replaces the one before and a
-/// lost one is made good by the next, so nothing is acknowledged or sent again.
+/// Datagrams between entries: heartbeats, load reports, crash reports and usage reports. Each report replaces the previous one, so
+/// the next one makes up for a lost datagram, and nothing is acknowledged or retransmitted.
 
 #pragma once
 
@@ -21,10 +21,10 @@
 
 using PeerMessage = std::variant<passthrough::PeerReported, passthrough::CrashesHeard, fleet::Heartbeat, usage::Report>;
 
-/// The message with as many parts of prompts as one datagram takes, and the rest in further ones.
-auto splitParts(const PeerMessage &message) -> std::vector<PeerMessage>;
+/// Splits a load report: the first message holds as many prompt parts as fit into a datagram, further messages hold the rest.
+auto splitIntoDatagrams(const PeerMessage &message) -> std::vector<PeerMessage>;
 auto encodePeerMessage(const PeerMessage &message) -> std::string;
-/// Throws std::runtime_error for bytes that are no message.
+/// Throws std::runtime_error if the bytes are not a valid message.
 auto decodePeerMessage(std::string_view bytes) -> PeerMessage;
 
 class PeerExchange
@@ -33,24 +33,24 @@
     using OnMessage = std::function<void(const PeerMessage &message)>;
     using OnInvalid = std::function<void(const std::string &detail)>;
 
-    /// Throws std::system_error if the address can't be bound.
+    /// Throws std::system_error if the address cannot be bound.
     PeerExchange(task::EventLoop &loop, const std::string &address, OnMessage onMessage, OnInvalid onInvalid);
     ~PeerExchange();
     PeerExchange(const PeerExchange &) = delete;
     auto operator=(const PeerExchange &) -> PeerExchange & = delete;
 
-    /// Addresses of the other entries.
+    /// Sets the peer addresses of the other entries.
     auto setPeers(std::vector<std::string> addresses) -> void;
-    /// To all of them.
+    /// Sends to all other entries.
     auto send(const PeerMessage &message) -> void;
-    /// To every \p parts th of them, beginning with number \p part.
-    auto sendToPart(int part, int parts, const PeerMessage &message) -> void;
+    /// Sends to every \p parts th of the other entries, beginning with index \p part.
+    auto sendToSubset(int part, int parts, const PeerMessage &message) -> void;
     auto sendTo(const std::vector<std::string> &addresses, const PeerMessage &message) -> void;
 
-    [[nodiscard]] auto peers() const -> std::size_t;
+    [[nodiscard]] auto peerCount() const -> std::size_t;
 
 private:
-    auto sendOne(const std::vector<std::string> &addresses, const PeerMessage &message) -> void;
+    auto sendDatagram(const std::vector<std::string> &addresses, const PeerMessage &message) -> void;
     auto receive() -> void;
 
     OnMessage onMessage_;
--- a/src/gateway/serverchanges.cpp
+++ b/src/gateway/serverchanges.cpp
@@ -14,15 +14,15 @@
 
 using passthrough::Server;
 
-/// Servers and ids in a log; a list that is further behind is sent whole.
-constexpr std::size_t MostLoggedRecords = 512;
+/// Servers and ids kept in a log. An entry whose list is further behind gets the whole list.
+constexpr std::size_t MaxLoggedRecords = 512;
 
-auto sizeOf(const ServerChanges &changes) -> std::size_t
+auto countRecords(const ServerChanges &changes) -> std::size_t
 {
     return changes.changed.size() + changes.removed.size();
 }
 
-auto isSame(const Server &one, const Server &other) -> bool
+auto isSameRecord(const Server &one, const Server &other) -> bool
 {
     return one.id == other.id && one.service == other.service && one.address == other.address && one.failureDomain == other.failureDomain
         && one.slots == other.slots && one.isLeaving == other.isLeaving && one.isPreemptible == other.isPreemptible && one.startedAt == other.startedAt;
@@ -61,7 +61,7 @@
     }
 }
 
-auto findChanges(const ServerRecords &before, const ServerRecords &after) -> ServerChanges
+auto diffServers(const ServerRecords &before, const ServerRecords &after) -> ServerChanges
 {
     ServerChanges changes;
     auto old = before.begin();
@@ -70,7 +70,7 @@
             changes.removed.push_back(old->id);
         }
         const auto isKnown = old != before.end() && old->id == server.id;
-        if (!isKnown || !isSame(*old, server)) {
+        if (!isKnown || !isSameRecord(*old, server)) {
             changes.changed.push_back(server);
         }
         if (isKnown) {
@@ -86,15 +86,15 @@
 namespace
 {
 
-auto placeOf(const ServerRecords &servers, std::string_view id)
+auto findPosition(const ServerRecords &servers, std::string_view id)
 {
     return std::lower_bound(servers.begin(), servers.end(), id, [](const Server &server, std::string_view wanted) { return server.id < wanted; });
 }
 
-auto hashOfKnown(const ServerRecords &servers, std::string_view id) -> std::uint64_t
+auto hashOrZero(const ServerRecords &servers, std::string_view id) -> std::uint64_t
 {
-    const auto place = placeOf(servers, id);
-    return place != servers.end() && place->id == id ? hashOf(*place) : 0;
+    const auto position = findPosition(servers, id);
+    return position != servers.end() && position->id == id ? hashOf(*position) : 0;
 }
 
 } // namespace
@@ -102,17 +102,17 @@
 auto applyChanges(ServerRecords &servers, const ServerChanges &changes) -> void
 {
     for (const auto &id : changes.removed) {
-        const auto place = placeOf(servers, id);
-        if (place != servers.end() && place->id == id) {
-            servers.erase(place);
+        const auto position = findPosition(servers, id);
+        if (position != servers.end() && position->id == id) {
+            servers.erase(position);
         }
     }
     for (const auto &server : changes.changed) {
-        const auto place = placeOf(servers, server.id);
-        if (place != servers.end() && place->id == server.id) {
-            servers[static_cast<std::size_t>(place - servers.begin())] = server;
+        const auto position = findPosition(servers, server.id);
+        if (position != servers.end() && position->id == server.id) {
+            servers[static_cast<std::size_t>(position - servers.begin())] = server;
         } else {
-            servers.insert(place, server);
+            servers.insert(position, server);
         }
     }
 }
@@ -120,10 +120,10 @@
 auto tagAfter(const ServerRecords &servers, std::uint64_t tag, const ServerChanges &changes) -> std::uint64_t
 {
     for (const auto &id : changes.removed) {
-        tag -= hashOfKnown(servers, id);
+        tag -= hashOrZero(servers, id);
     }
     for (const auto &server : changes.changed) {
-        tag += hashOf(server) - hashOfKnown(servers, server.id);
+        tag += hashOf(server) - hashOrZero(servers, server.id);
     }
     return tag;
 }
@@ -142,12 +142,12 @@
     return tag;
 }
 
-auto noteChanges(ChangeLog &log, std::uint64_t before, const ServerChanges &changes) -> void
+auto appendChanges(ChangeLog &log, std::uint64_t before, const ServerChanges &changes) -> void
 {
     log.steps.push_back({ .before = before, .changes = changes });
-    log.records += sizeOf(changes);
-    while (!log.steps.empty() && log.records > MostLoggedRecords) {
-        log.records -= sizeOf(log.steps.front().changes);
+    log.records += countRecords(changes);
+    while (!log.steps.empty() && log.records > MaxLoggedRecords) {
+        log.records -= countRecords(log.steps.front().changes);
         log.steps.pop_front();
     }
 }
@@ -155,9 +155,9 @@
 auto changesSince(const ChangeLog &log, std::uint64_t tag) -> std::optional<ServerChanges>
 {
     if (tag == 0) {
-        return std::nullopt; // the asker knows none
+        return std::nullopt; // the querying entry has no list
     }
-    // a list may have come back to what it was: its last time counts
+    // the list may have returned to an earlier state, so the latest occurrence of the tag counts
     const auto last = std::find_if(log.steps.rbegin(), log.steps.rend(), [tag](const ChangeLog::Step &step) { return step.before == tag; });
     if (last == log.steps.rend()) {
         return std::nullopt;
--- a/src/gateway/serverchanges.h
+++ b/src/gateway/serverchanges.h
@@ -1,7 +1,7 @@
 /// \file
-/// How lists of backend servers differ, so that a change of one server does not send thousands to every entry.
+/// Differences between lists of backend servers, so that a change of one server does not send thousands of records to every entry.
 ///
-/// The lists are sorted by id. The time for which a server stays slow after its start is left out: it differs in each list.
+/// The lists are sorted by id. The time for which a server stays slow after its start is not compared, as it differs in each list.
 
 #pragma once
 
@@ -19,9 +19,9 @@
 
 using ServerRecords = std::vector<passthrough::Server>;
 
-/// What makes one list of another.
+/// Delta that turns one list into another.
 struct ServerChanges {
-    ServerRecords changed;            ///< as they are in the later list, those that are new among them
+    ServerRecords changed;            ///< changed and new servers as they are in the later list
     std::vector<std::string> removed; ///< ids
 
     auto operator==(const ServerChanges &) const -> bool = default;
@@ -29,28 +29,28 @@
 
 auto sortServers(ServerRecords &servers) -> void;
 
-auto findChanges(const ServerRecords &before, const ServerRecords &after) -> ServerChanges;
+auto diffServers(const ServerRecords &before, const ServerRecords &after) -> ServerChanges;
 auto applyChanges(ServerRecords &servers, const ServerChanges &changes) -> void;
-/// What the tag of \p servers becomes by these changes.
+/// Content tag that a list of \p servers with this \p tag has after the changes.
 auto tagAfter(const ServerRecords &servers, std::uint64_t tag, const ServerChanges &changes) -> std::uint64_t;
 auto isEmpty(const ServerChanges &changes) -> bool;
 
-/// The same for equal lists at every entry; 0 stands for none.
+/// Content tag: equal lists have the same tag on every entry. 0 means that there is no list.
 auto tagOf(const ServerRecords &servers) -> std::uint64_t;
 
-/// The latest changes of one list, each with the tag of the list that it was made to.
+/// The latest deltas of one list, each with the tag of the list to which it applies.
 struct ChangeLog {
     struct Step {
-        std::uint64_t before = 0; ///< tag
+        std::uint64_t before = 0; ///< tag of the list before the delta
         ServerChanges changes;
     };
     std::deque<Step> steps;  ///< oldest first
-    std::size_t records = 0; ///< in all steps
+    std::size_t records = 0; ///< changed and removed servers in all steps
 };
 
-auto noteChanges(ChangeLog &log, std::uint64_t before, const ServerChanges &changes) -> void;
+auto appendChanges(ChangeLog &log, std::uint64_t before, const ServerChanges &changes) -> void;
 
-/// What changed since the list with this tag; nothing if that is not known any more.
+/// Merged changes since the list with this tag; nothing if the log no longer contains it.
 auto changesSince(const ChangeLog &log, std::uint64_t tag) -> std::optional<ServerChanges>;
 
 } // namespace auburnspread::gateway
--- a/src/gateway/tests/coldstart_tests.cpp
+++ b/src/gateway/tests/coldstart_tests.cpp
@@ -49,14 +49,14 @@
                     .onEvent = [this](const passthrough::Event &event) { passthrough::step(*router, event, now()); },
                     .onLimits = [](auto &&...) {},
                     .onServerGone = [](auto &&...) {},
-                    .onChanged = [this]() { announceOnceReady(); },
+                    .onReadinessChanged = [this]() { announceOnceReady(); },
                 })
     {
     }
 
     [[nodiscard]] auto isReady() const -> bool
     {
-        return passthrough::isFresh(*router, now()) && fleet.knowsServers();
+        return passthrough::isFresh(*router, now()) && fleet.hasServerList();
     }
 
     auto announceOnceReady() -> void
--- a/src/gateway/tests/directory_tests.cpp
+++ b/src/gateway/tests/directory_tests.cpp
@@ -58,7 +58,7 @@
     StoreStandin store(loop);
     store.setGrantedLease(std::chrono::milliseconds(300));
     constexpr auto AskedFor = std::chrono::minutes(10);
-    Directory directory(loop, { .store = store.address(), .self = { .name = "entry-1" }, .leaseTime = AskedFor }, { .onReachable = [](auto &&...) {} });
+    Directory directory(loop, { .store = store.address(), .self = { .name = "entry-1" }, .leaseDuration = AskedFor }, { .onReachable = [](auto &&...) {} });
     directory.registerSelf();
     const auto look = loop.every(std::chrono::milliseconds(10), [&]() {
         if (store.renewals() >= 2) {
--- a/src/gateway/tests/directorystate_tests.cpp
+++ b/src/gateway/tests/directorystate_tests.cpp
@@ -21,9 +21,9 @@
 auto makeState() -> DirectoryState
 {
     DirectoryState state{ .confirmedAt = Now - std::chrono::milliseconds(300) };
-    takeConfiguration(state, { .document = Document, .revision = 12 });
-    takeServers(state, { .servers = { makeServer(true) }, .asOf = Now });
-    takeEntries(state, { { .name = "e1", .callerAddress = "10.0.0.2:80", .peerAddress = "10.0.0.2:90", .failureDomain = "a" } }, Now);
+    applyConfiguration(state, { .document = Document, .revision = 12 });
+    applyServers(state, { .servers = { makeServer(true) }, .asOf = Now });
+    applyEntries(state, { { .name = "e1", .callerAddress = "10.0.0.2:80", .peerAddress = "10.0.0.2:90", .failureDomain = "a" } }, Now);
     return state;
 }
 
@@ -35,15 +35,15 @@
     const auto whole = decodeAnswer(encodeAnswer(makeAnswer(state, {}, Now)));
     ASSERT_TRUE(whole.configuration && whole.servers && whole.entries && whole.confirmedAge);
     DocumentTransfer transfer{ .offer = *whole.configuration };
-    ASSERT_EQ(takePart(transfer, readPart(state.configurations, whole.configuration->tag, 0).value()), PartOutcome::Whole);
-    EXPECT_EQ(readDocument(transfer).value().document, Document);
+    ASSERT_EQ(appendPart(transfer, readPart(state.configurations, whole.configuration->tag, 0).value()), PartOutcome::Complete);
+    EXPECT_EQ(unpackDocument(transfer).value().document, Document);
     EXPECT_EQ(whole.configuration->revision, 12U);
     EXPECT_EQ(unpackServers(*whole.servers).front(), state.servers.front());
     EXPECT_EQ(unpackEntries(*whole.entries).front(), state.entries.front());
     EXPECT_EQ(*whole.confirmedAge, std::chrono::milliseconds(300));
 
     const auto known = state.tags;
-    takeServers(state, { .servers = { makeServer(false) }, .asOf = Now });
+    applyServers(state, { .servers = { makeServer(false) }, .asOf = Now });
     const auto change = decodeAnswer(encodeAnswer(makeAnswer(state, known, Now)));
     EXPECT_EQ(change.configuration, whole.configuration);
     EXPECT_FALSE(change.entries);
@@ -73,8 +73,8 @@
     DirectoryState state;
     const passthrough::Server leaving{ .id = "i-1", .service = "engines", .isLeaving = true };
     const passthrough::Server available{ .id = "i-1", .service = "engines" };
-    EXPECT_TRUE(takeServers(state, { .servers = { leaving }, .revision = 20, .asOf = Now }));
-    EXPECT_FALSE(takeServers(state, { .servers = { available }, .revision = 12, .asOf = Now }));
+    EXPECT_TRUE(applyServers(state, { .servers = { leaving }, .revision = 20, .asOf = Now }));
+    EXPECT_FALSE(applyServers(state, { .servers = { available }, .revision = 12, .asOf = Now }));
     EXPECT_TRUE(state.servers.front().isLeaving);
 }
 
@@ -110,15 +110,15 @@
     auto state = makeState();
     const auto at = [](int milliseconds) { return Now + std::chrono::milliseconds(milliseconds); };
     EXPECT_FALSE(outdatedSince(state));
-    EXPECT_TRUE(takeOffer(state, 13, at(0)));
-    EXPECT_FALSE(takeOffer(state, 13, at(300))) << "heard of before";
-    EXPECT_TRUE(takeOffer(state, 15, at(600)));
+    EXPECT_TRUE(recordOffer(state, 13, at(0)));
+    EXPECT_FALSE(recordOffer(state, 13, at(300))) << "heard of before";
+    EXPECT_TRUE(recordOffer(state, 15, at(600)));
     EXPECT_EQ(outdatedSince(state), at(0));
-    takeConfiguration(state, { .document = Document, .revision = 13 });
+    applyConfiguration(state, { .document = Document, .revision = 13 });
     EXPECT_EQ(outdatedSince(state), at(600));
-    takeConfiguration(state, { .document = Document, .revision = 16 });
+    applyConfiguration(state, { .document = Document, .revision = 16 });
     EXPECT_FALSE(outdatedSince(state));
-    EXPECT_FALSE(takeOffer(state, 16, at(900))) << "no newer one";
+    EXPECT_FALSE(recordOffer(state, 16, at(900))) << "no newer one";
 }
 
 /// What callers see: one entry refuses everything, for good. Another one, whose memory is wrong, told it of a configuration that nobody
@@ -126,9 +126,9 @@
 TEST(DirectoryStateTests, aConfigurationThatTheStoreDoesNotKnowOutdatesNothing)
 {
     auto state = makeState();
-    takeOffer(state, 1000, Now);
-    takeConfirmed(state, Now - std::chrono::milliseconds(1));
+    recordOffer(state, 1000, Now);
+    applyConfirmation(state, Now - std::chrono::milliseconds(1));
     EXPECT_EQ(outdatedSince(state), Now) << "it may have been written since";
-    takeConfirmed(state, Now + std::chrono::milliseconds(1));
+    applyConfirmation(state, Now + std::chrono::milliseconds(1));
     EXPECT_FALSE(outdatedSince(state));
 }
--- a/src/gateway/tests/documenttransfer_tests.cpp
+++ b/src/gateway/tests/documenttransfer_tests.cpp
@@ -41,7 +41,7 @@
         : server(loop)
     {
         server.route(std::string(DocumentPath), [this](const http::IncomingRequest &request, const http::Replier &replier) {
-            const auto question = readPartQuestion(request.query);
+            const auto question = parsePartQuery(request.query);
             asked.push_back(question);
             if (asked.size() > answers) {
                 replier.reply(503, "text/plain", "");
@@ -55,25 +55,25 @@
 
     auto put(const std::string &document, std::uint64_t revision) -> DocumentOffer
     {
-        documents.insert(documents.begin(), makeOffered({ .document = document, .revision = revision }));
+        documents.insert(documents.begin(), makeOfferedDocument({ .document = document, .revision = revision }));
         return documents.front().offer;
     }
 
     http::Server server;
     std::string address;
     std::vector<OfferedDocument> documents;
-    std::vector<PartQuestion> asked;
+    std::vector<PartQuery> asked;
     std::size_t answers = 1000; ///< before it answers no more
 };
 
 struct FetcherTests : testing::Test {
     task::EventLoop loop;
     http::Client client{ loop };
-    std::vector<ConfigurationRead> taken;
+    std::vector<ConfigurationSnapshot> taken;
     DocumentFetcher fetcher{ loop,
                              client,
                              0,
-                             { .onDocument = [this](const ConfigurationRead &read) { taken.push_back(read); }, .onPartFailed = [](auto &&...) {} } };
+                             { .onDocument = [this](const ConfigurationSnapshot &read) { taken.push_back(read); }, .onPartFailed = [](auto &&...) {} } };
 
     auto runUntilTaken(std::size_t documents) -> void
     {
@@ -95,7 +95,7 @@
     other.put(document, 7);
     dying.answers = 3;
     fetcher.setReaders({ dying.address, other.address });
-    fetcher.want(offer);
+    fetcher.fetch(offer);
     runUntilTaken(1);
     ASSERT_EQ(taken.size(), 1U);
     EXPECT_TRUE(taken.front().document == document);
@@ -112,9 +112,9 @@
     const auto first = makeDocument(3 * PartBytes - Room, 1);
     const auto last = makeDocument(3 * PartBytes - Room, 3);
     fetcher.setReaders({ reader.address });
-    fetcher.want(reader.put(first, 7));
-    fetcher.want(reader.put(makeDocument(3 * PartBytes - Room, 2), 8));
-    fetcher.want(reader.put(last, 9));
+    fetcher.fetch(reader.put(first, 7));
+    fetcher.fetch(reader.put(makeDocument(3 * PartBytes - Room, 2), 8));
+    fetcher.fetch(reader.put(last, 9));
     runUntilTaken(2);
     ASSERT_EQ(taken.size(), 2U);
     EXPECT_TRUE(taken.front().document == first);
@@ -126,8 +126,8 @@
     Reader reader(loop);
     const auto newer = makeDocument(PartBytes + 1, 2);
     fetcher.setReaders({ reader.address });
-    fetcher.want({ .revision = 7, .tag = 1, .bytes = 10, .documentBytes = 10 });
-    fetcher.want(reader.put(newer, 8));
+    fetcher.fetch({ .revision = 7, .tag = 1, .bytes = 10, .documentBytes = 10 });
+    fetcher.fetch(reader.put(newer, 8));
     runUntilTaken(1);
     ASSERT_EQ(taken.size(), 1U);
     EXPECT_TRUE(taken.front().document == newer);
@@ -137,10 +137,10 @@
 {
     Reader reader(loop);
     auto offer = reader.put("{}", 7);
-    offer.bytes = MostDocumentBytes + 1;
+    offer.bytes = MaxDocumentBytes + 1;
     fetcher.setReaders({ reader.address });
-    fetcher.want(offer);
-    fetcher.want(reader.put(makeDocument(1, 2), 8));
+    fetcher.fetch(offer);
+    fetcher.fetch(reader.put(makeDocument(1, 2), 8));
     runUntilTaken(1);
     ASSERT_EQ(reader.asked.size(), 1U);
     EXPECT_EQ(taken.front().revision, 8U);
@@ -152,7 +152,7 @@
 {
     task::EventLoop loop;
     DirectoryState reader{ .confirmedAt = task::monotonicNow(), .serversAt = task::monotonicNow() };
-    takeConfiguration(reader, { .document = makeDocument(4 * PartBytes, 1), .revision = 7 });
+    applyConfiguration(reader, { .document = makeDocument(4 * PartBytes, 1), .revision = 7 });
     DirectoryPage page(loop, reader);
 
     DirectoryTags known{ .configuration = 3 };
@@ -161,11 +161,11 @@
                                known,
                                0,
                                {
-                                   .onConfiguration = [&](const ConfigurationRead &read) { known.configuration = read.revision; },
-                                   .onConfirmed = [&](TimePoint) { confirmed.push_back(known.configuration); },
-                                   .onOffered = [](auto &&...) {},
+                                   .onConfiguration = [&](const ConfigurationSnapshot &read) { known.configuration = read.revision; },
+                                   .onConfigurationConfirmed = [&](TimePoint) { confirmed.push_back(known.configuration); },
+                                   .onConfigurationOffered = [](auto &&...) {},
                                    .onServersConfirmed = [](auto &&...) {},
-                                   .onAsked = [](auto &&...) {},
+                                   .onReaderChecked = [](auto &&...) {},
                                    .onReachable = [](auto &&...) {},
                                });
     follower.follow({ page.listen("127.0.0.1:0") });
@@ -188,7 +188,7 @@
                                0,
                                {
                                    .onServersConfirmed = [](auto &&...) {},
-                                   .onAsked = [&](const std::string &, bool isFit) { fitness.push_back(isFit); },
+                                   .onReaderChecked = [&](const std::string &, bool isHealthy) { fitness.push_back(isHealthy); },
                                    .onReachable = [](auto &&...) {},
                                });
     const auto address = page.listen("127.0.0.1:0");
@@ -205,12 +205,12 @@
 
 TEST(DocumentTransferTests, otherBytesThanTheOfferedOnesBeginAnew)
 {
-    const auto offered = makeOffered({ .document = "document", .revision = 1 });
+    const auto offered = makeOfferedDocument({ .document = "document", .revision = 1 });
     auto other = offered.bytes;
     other.back() = static_cast<char>(other.back() + 1);
     for (const auto &part : { offered.bytes + "s", other, std::string() }) {
         DocumentTransfer transfer{ .offer = offered.offer };
-        EXPECT_EQ(takePart(transfer, part), PartOutcome::Spoilt);
+        EXPECT_EQ(appendPart(transfer, part), PartOutcome::Corrupt);
         EXPECT_TRUE(transfer.bytes.empty());
     }
 }
@@ -219,18 +219,18 @@
 {
     const auto size = *rc::gen::inRange<std::size_t>(1, 3 * PartBytes + 2);
     const auto document = makeDocument(size, 1);
-    const std::vector<OfferedDocument> documents = { makeOffered({ .document = document, .revision = 5 }) };
+    const std::vector<OfferedDocument> documents = { makeOfferedDocument({ .document = document, .revision = 5 }) };
     DocumentTransfer transfer{ .offer = documents.front().offer };
-    auto outcome = PartOutcome::More;
-    while (outcome == PartOutcome::More) {
+    auto outcome = PartOutcome::Incomplete;
+    while (outcome == PartOutcome::Incomplete) {
         const auto part = readPart(documents, transfer.offer.tag, transfer.bytes.size());
         RC_ASSERT(part && part->size() <= PartBytes);
-        outcome = takePart(transfer, *part);
+        outcome = appendPart(transfer, *part);
     }
-    RC_ASSERT(outcome == PartOutcome::Whole);
-    const auto read = readDocument(transfer).value();
+    RC_ASSERT(outcome == PartOutcome::Complete);
+    const auto read = unpackDocument(transfer).value();
     RC_ASSERT(read.document == document);
-    RC_ASSERT(makeOffered(read).offer == transfer.offer); // so that any entry can send the rest to one that has a part
+    RC_ASSERT(makeOfferedDocument(read).offer == transfer.offer); // so that any entry can send the rest to one that has a part
     RC_ASSERT(!readPart(documents, transfer.offer.tag, transfer.offer.bytes));
 }
 
@@ -238,20 +238,20 @@
 /// so that a transfer goes on at any entry that has fetched the same ones.
 TEST(DocumentTransferTests, whatCamePackedIsOfferedAsItCame)
 {
-    const auto offered = makeOffered({ .document = "document", .revision = 1, .packed = "packed otherwise" });
+    const auto offered = makeOfferedDocument({ .document = "document", .revision = 1, .packed = "packed otherwise" });
     EXPECT_EQ(offered.bytes, "packed otherwise");
     EXPECT_EQ(offered.offer.bytes, offered.bytes.size());
-    EXPECT_NE(offered.offer.tag, makeOffered({ .document = "document", .revision = 1 }).offer.tag);
+    EXPECT_NE(offered.offer.tag, makeOfferedDocument({ .document = "document", .revision = 1 }).offer.tag);
 }
 
 /// An offer that says less than its document has must not make an entry take over the beginning of it, nor fill its memory.
 TEST(DocumentTransferTests, aDocumentOfAnotherSizeThanOfferedIsNotRead)
 {
-    const auto offered = makeOffered({ .document = std::string(5000, 'a'), .revision = 1 });
+    const auto offered = makeOfferedDocument({ .document = std::string(5000, 'a'), .revision = 1 });
     for (const std::uint64_t size : { 4999, 5001 }) {
         DocumentTransfer transfer{ .offer = offered.offer, .bytes = offered.bytes };
         transfer.offer.documentBytes = size;
-        EXPECT_FALSE(readDocument(transfer));
+        EXPECT_FALSE(unpackDocument(transfer));
     }
 }
 
@@ -264,5 +264,5 @@
         route = { .name = "route-" + std::to_string(random()), .host = "quotes.example", .prefix = "/" + std::to_string(random()) + "/" };
     }
     const auto document = adapter::standins::configurationText(1, routes, "portal", "roofers", { "key-1" });
-    EXPECT_LT(makeOffered({ .document = document, .revision = 1 }).offer.bytes * 6, document.size());
+    EXPECT_LT(makeOfferedDocument({ .document = document, .revision = 1 }).offer.bytes * 6, document.size());
 }
--- a/src/gateway/tests/largedocument_tests.cpp
+++ b/src/gateway/tests/largedocument_tests.cpp
@@ -58,7 +58,7 @@
     const auto document = makeDocument(LargestDocument);
     task::EventLoop loop;
     DirectoryState state;
-    takeConfiguration(state, { .document = document, .revision = 1 });
+    applyConfiguration(state, { .document = document, .revision = 1 });
     DirectoryPage page(loop, state);
     const NarrowLink link(loop, page.listen("127.0.0.1:0"), { .bytes = CarriedInTime });
 
@@ -67,9 +67,9 @@
     DirectoryFollower follower(loop,
                                nothing,
                                0,
-                               { .onConfiguration = [&](const ConfigurationRead &read) { taken = read.document; },
-                                 .onOffered = [](auto &&...) {},
-                                 .onAsked = [](auto &&...) {},
+                               { .onConfiguration = [&](const ConfigurationSnapshot &read) { taken = read.document; },
+                                 .onConfigurationOffered = [](auto &&...) {},
+                                 .onReaderChecked = [](auto &&...) {},
                                  .onReachable = [](auto &&...) {} });
     follower.follow({ link.address() });
     runUntil(
@@ -92,15 +92,15 @@
     Directory directory(loop,
                         { .store = link.address(), .self = { .name = "entry-1" } },
                         {
-                            .onConfiguration = [&](const ConfigurationRead &read) { taken = read.document; },
-                            .onConfirmed = [](TimePoint) {},
-                            .onServers = [](const ServersRead &) {},
+                            .onConfiguration = [&](const ConfigurationSnapshot &read) { taken = read.document; },
+                            .onConfigurationConfirmed = [](TimePoint) {},
+                            .onServers = [](const ServersSnapshot &) {},
                             .onRegistrations = [](auto &&...) {},
                             .onRegistrationsFailed = []() {},
-                            .onRemembered = [](auto &&...) {},
+                            .onEntriesSnapshot = [](auto &&...) {},
                             .onReachable = [](auto &&...) {},
                         });
-    directory.setReading(true);
+    directory.setReadsForPeers(true);
     runUntil(
         loop, [&]() { return !taken.empty() || link.cutOff() >= MostCutOff; }, Bound);
 
@@ -120,12 +120,12 @@
     Directory directory(loop,
                         { .store = link.address(), .self = { .name = "entry-1" } },
                         {
-                            .onConfiguration = [](const ConfigurationRead &) {},
-                            .onConfirmed = [&](TimePoint) { confirmations += 1; },
-                            .onServers = [](const ServersRead &) {},
+                            .onConfiguration = [](const ConfigurationSnapshot &) {},
+                            .onConfigurationConfirmed = [&](TimePoint) { confirmations += 1; },
+                            .onServers = [](const ServersSnapshot &) {},
                             .onRegistrations = [](auto &&...) {},
                             .onRegistrationsFailed = []() {},
-                            .onRemembered = [](auto &&...) {},
+                            .onEntriesSnapshot = [](auto &&...) {},
                             .onReachable = [](auto &&...) {},
                         });
     constexpr int Reads = 4;
--- a/src/gateway/tests/messages_tests.cpp
+++ b/src/gateway/tests/messages_tests.cpp
@@ -75,7 +75,7 @@
             use.sent.push_back({ .id = 1000 * static_cast<std::uint64_t>(engine) + part, .tokens = 3000 });
         }
     }
-    const auto messages = splitParts(report);
+    const auto messages = splitIntoDatagrams(report);
     ASSERT_EQ(messages.size(), 3U);
     std::size_t parts = 0;
     for (const auto &message : messages) {
--- a/src/gateway/tests/outage_tests.cpp
+++ b/src/gateway/tests/outage_tests.cpp
@@ -40,7 +40,7 @@
     auto readUntilListed() -> void
     {
         list.reset();
-        directory.setReading(true);
+        directory.setReadsForPeers(true);
         runUntil(loop, [this]() { return list.has_value(); });
     }
 
@@ -54,17 +54,17 @@
 
     task::EventLoop loop;
     StoreStandin store{ loop };
-    std::optional<ServersRead> list;
+    std::optional<ServersSnapshot> list;
     std::optional<bool> isReachable;
     Directory directory{ loop,
                          { .store = store.address(), .self = { .name = "entry-1" } },
                          {
                              .onConfiguration = [](auto &&...) {},
-                             .onConfirmed = [](auto &&...) {},
-                             .onServers = [this](const ServersRead &read) { list = read; },
+                             .onConfigurationConfirmed = [](auto &&...) {},
+                             .onServers = [this](const ServersSnapshot &read) { list = read; },
                              .onRegistrations = [](auto &&...) {},
                              .onRegistrationsFailed = []() {},
-                             .onRemembered = [](auto &&...) {},
+                             .onEntriesSnapshot = [](auto &&...) {},
                              .onReachable = [this](std::string_view, bool reachable, auto &&...) { isReachable = reachable; },
                          } };
 };
@@ -76,8 +76,8 @@
     ReaderOfStore reader;
     reader.readUntilListed();
     reader.failFor(std::chrono::seconds(1));
-    reader.directory.setReading(false);
-    reader.directory.noteServersConfirmed(now());
+    reader.directory.setReadsForPeers(false);
+    reader.directory.recordServersConfirmed(now());
     runUntil(
         reader.loop, []() { return false; }, Gap);
     reader.readUntilListed();
@@ -102,10 +102,10 @@
 {
     ReaderOfStore reader;
     reader.store.setBusy(true);
-    reader.directory.readOutdated();
+    reader.directory.readStale();
     runUntil(reader.loop, [&reader]() { return reader.isReachable == false; });
-    reader.directory.confirmOnce();
-    reader.directory.setReading(true);
+    reader.directory.confirmConfiguration();
+    reader.directory.setReadsForPeers(true);
     reader.store.setBusy(false);
     runUntil(reader.loop, [&reader]() { return reader.list.has_value(); });
     ASSERT_TRUE(reader.list);
