--- a/src/gateway/tests/overdueconfiguration_tests.cpp
+++ b/src/gateway/tests/overdueconfiguration_tests.cpp
@@ -57,11 +57,11 @@
     {
         server.route(std::string(DirectoryPath), [this](const http::IncomingRequest &request, const http::Replier &replier) {
             state.confirmedAt = now();
-            takeServers(state, { .asOf = now() });
-            replier.reply(200, "application/cbor", encodeAnswer(makeAnswer(state, readQuestion(request.query), now())));
+            applyServers(state, { .asOf = now() });
+            replier.reply(200, "application/cbor", encodeAnswer(makeAnswer(state, parseDirectoryQuery(request.query), now())));
         });
         server.route(std::string(DocumentPath), [this](const http::IncomingRequest &request, const http::Replier &replier) {
-            const auto question = readPartQuestion(request.query);
+            const auto question = parsePartQuery(request.query);
             const auto part = sendsParts ? readPart(state.configurations, question.tag, question.from) : std::nullopt;
             replier.reply(part ? 200 : 503, "application/octet-stream", part.value_or(std::string_view()));
         });
@@ -106,7 +106,7 @@
     auto offer(std::uint64_t version) -> void
     {
         constexpr std::uint64_t Later = 1000; // than any revision of the stand-in
-        takeConfiguration(reader.state, { .document = makeDocument(version), .revision = Later + version });
+        applyConfiguration(reader.state, { .document = makeDocument(version), .revision = Later + version });
     }
 
     /// What becomes of a request without a key.
@@ -140,7 +140,7 @@
                      .onEvent = [this](const passthrough::Event &event) { passthrough::step(*router, event, now()); },
                      .onLimits = [](auto &&...) {},
                      .onServerGone = [](auto &&...) {},
-                     .onChanged = []() {},
+                     .onReadinessChanged = []() {},
                  } };
     std::uint64_t lastRequest = 0;
 };
--- a/src/gateway/tests/repeatedread_tests.cpp
+++ b/src/gateway/tests/repeatedread_tests.cpp
@@ -45,16 +45,16 @@
     StoreStandin store{ loop };
     standins::NarrowLink link{ loop, store.address(), { .bytes = 160000, .pause = std::chrono::milliseconds(125) } };
     std::string taken;
-    std::vector<ServersRead> lists;
+    std::vector<ServersSnapshot> lists;
     Directory directory{ loop,
                          { .store = link.address(), .self = { .name = "entry-1" } },
                          {
-                             .onConfiguration = [this](const ConfigurationRead &read) { taken = read.document; },
-                             .onConfirmed = [](TimePoint) {},
-                             .onServers = [this](const ServersRead &read) { lists.push_back(read); },
+                             .onConfiguration = [this](const ConfigurationSnapshot &read) { taken = read.document; },
+                             .onConfigurationConfirmed = [](TimePoint) {},
+                             .onServers = [this](const ServersSnapshot &read) { lists.push_back(read); },
                              .onRegistrations = [](auto &&...) {},
                              .onRegistrationsFailed = []() {},
-                             .onRemembered = [](auto &&...) {},
+                             .onEntriesSnapshot = [](auto &&...) {},
                              .onReachable = [](auto &&...) {},
                          } };
 };
@@ -68,7 +68,7 @@
     reader.directory.readOnce();
     runUntil(reader.loop, [&]() { return reader.link.passed() > LargestDocument / 4; });
     reader.directory.readOnce();
-    reader.directory.setReading(true);
+    reader.directory.setReadsForPeers(true);
     runUntil(reader.loop, [&]() { return !reader.taken.empty(); });
     EXPECT_TRUE(reader.taken == reader.document);
     EXPECT_LT(reader.link.passed(), 2 * LargestDocument) << "one document as base64 and some lists";
--- a/src/gateway/tests/serverchanges_tests.cpp
+++ b/src/gateway/tests/serverchanges_tests.cpp
@@ -40,9 +40,9 @@
 {
     auto answer = decodeAnswer(encodeAnswer(makeAnswer(reader, known.tags, Now)));
     if (answer.serverChanges) {
-        EXPECT_TRUE(takeServersChanged(known, { .changes = *answer.serverChanges, .tag = answer.serversTag, .revision = answer.serversRevision, .asOf = Now }));
+        EXPECT_TRUE(applyServersDelta(known, { .changes = *answer.serverChanges, .tag = answer.serversTag, .revision = answer.serversRevision, .asOf = Now }));
     } else if (answer.servers) {
-        takeServers(known, { .servers = unpackServers(*answer.servers), .revision = answer.serversRevision, .asOf = Now });
+        applyServers(known, { .servers = unpackServers(*answer.servers), .revision = answer.serversRevision, .asOf = Now });
     }
     return answer;
 }
@@ -55,7 +55,7 @@
 {
     const auto before = makeList(one);
     const auto after = makeList(other);
-    const auto changes = findChanges(before, after);
+    const auto changes = diffServers(before, after);
     RC_ASSERT(tagAfter(before, tagOf(before), changes) == tagOf(after));
     auto list = before;
     applyChanges(list, changes);
@@ -69,7 +69,7 @@
     DirectoryState asker;
     std::uint64_t revision = 0;
     for (const auto &[servers, asks] : lists) {
-        takeServers(reader, { .servers = makeList(servers), .revision = ++revision, .asOf = Now });
+        applyServers(reader, { .servers = makeList(servers), .revision = ++revision, .asOf = Now });
         if (asks) {
             ask(asker, reader);
             RC_ASSERT(asker.servers == reader.servers);
@@ -85,10 +85,10 @@
     DirectoryState reader;
     DirectoryState asker;
     auto servers = makeFleet(3000);
-    takeServers(reader, { .servers = servers, .revision = 1, .asOf = Now });
+    applyServers(reader, { .servers = servers, .revision = 1, .asOf = Now });
     EXPECT_TRUE(ask(asker, reader).servers) << "whoever knows none gets all";
     servers[7].isLeaving = true;
-    takeServers(reader, { .servers = servers, .revision = 2, .asOf = Now });
+    applyServers(reader, { .servers = servers, .revision = 2, .asOf = Now });
     EXPECT_LT(encodeAnswer(makeAnswer(reader, asker.tags, Now)).size(), MostBytes);
     ask(asker, reader);
     EXPECT_EQ(asker.servers, reader.servers);
@@ -98,10 +98,10 @@
 TEST(ServerChangesTests, aChangeOfAnotherListIsNotTakenOver)
 {
     DirectoryState state;
-    takeServers(state, { .servers = makeFleet(3), .revision = 1, .asOf = Now });
+    applyServers(state, { .servers = makeFleet(3), .revision = 1, .asOf = Now });
     auto other = makeFleet(4);
     const auto before = other;
     other[0].isLeaving = true;
-    EXPECT_FALSE(takeServersChanged(state, { .changes = findChanges(before, other), .tag = tagOf(other), .revision = 2, .asOf = Now }));
+    EXPECT_FALSE(applyServersDelta(state, { .changes = diffServers(before, other), .tag = tagOf(other), .revision = 2, .asOf = Now }));
     EXPECT_EQ(state.servers.size(), 3U);
 }
--- a/src/gateway/usagereports.h
+++ b/src/gateway/usagereports.h
@@ -63,7 +63,7 @@
     UsageOptions options_;
     UsageCallbacks callbacks_;
     http::Client client_;
-    TrueClock clock_;
+    WallClock clock_;
     usage::Tally tally_;
     usage::State state_;
     std::uint64_t turn_ = 0;
