--- a/src/core/passthrough/ejection.cpp
+++ b/src/core/passthrough/ejection.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-/// A server that turned bad stays so for some seconds.
+/// A faulty server usually stays faulty for several seconds.
 constexpr Duration EjectionDuration = std::chrono::milliseconds(1000);
-/// Entries try it again within this time after the pause, in an order of their own: the first ones tell the rest.
+/// Entries resume sending spread over this time after the pause, so that the first ones can report whether the server still fails.
 constexpr Duration ReturnJitter = std::chrono::milliseconds(1000);
-/// Part of a service's servers that may be out of use for their errors. Where more fail, the cause lies elsewhere, and the rest could not
-/// take their load.
+/// Share of a service's servers that may be ejected at the same time. If more of them fail, the cause is probably not the servers, and
+/// the remaining ones could not take the load.
 constexpr double MaxEjectedShare = 0.5;
 
 auto isEjected(const ServerState &server, TimePoint now) -> bool
@@ -34,8 +34,8 @@
 
 auto returnJitter(const ServerTable &table, const ServerState &server) -> Duration
 {
-    const auto draw = (table.seed ^ server.hash) % static_cast<std::uint64_t>(ReturnJitter.count());
-    return Duration(static_cast<Duration::rep>(draw));
+    const auto delay = (table.seed ^ server.hash) % static_cast<std::uint64_t>(ReturnJitter.count());
+    return Duration(static_cast<Duration::rep>(delay));
 }
 
 auto applyEjection(const ServerTable &table, ServerState &server, TimePoint until, TimePoint now) -> void
@@ -53,10 +53,10 @@
 
 } // namespace
 
-auto eject(ServerTable &table, ServerState &server, bool isTold, TimePoint now) -> void
+auto eject(ServerTable &table, ServerState &server, bool isReported, TimePoint now) -> void
 {
     applyEjection(table, server, now + EjectionDuration, now);
-    if (isTold) {
+    if (isReported) {
         markReportable(table, server);
         server.ownEjectionUntil = now + EjectionDuration;
     }
--- a/src/core/passthrough/ejection.h
+++ b/src/core/passthrough/ejection.h
@@ -1,9 +1,9 @@
 /// \file
-/// Takes a backend server that fails requests out of use for a while, at all entries.
+/// Ejection: takes a backend server that answers with errors out of use for a while, at all entries.
 ///
-/// Failure: each entry finds out by itself that a server answers with errors only. Symptom: a large fleet loses some requests at each of
-/// its entries. Who is convinced tells the others. After the pause the entries try the server one after the other, each with one
-/// request; the first that fails prolongs the pause for all.
+/// Failure: each entry has to find out by itself that a server answers with errors only. Symptom: a large fleet loses several requests
+/// at each of its entries. Therefore an entry that has enough evidence reports the ejection to its peers. After the pause, the entries
+/// try the server again one after the other, each with a single request; the first that fails extends the ejection for all entries.
 
 #pragma once
 
@@ -12,13 +12,14 @@
 namespace auburnspread::passthrough
 {
 
-/// Out of use here, and told to the others if \p isTold: what an entry sees of broken connections may lie at its own link.
-auto eject(ServerTable &table, ServerState &server, bool isTold, TimePoint now) -> void;
+/// Ejects the server at this entry. \p isReported: whether peers are told as well; broken connections are not reported, since their
+/// cause may be this entry's own network link
+auto eject(ServerTable &table, ServerState &server, bool isReported, TimePoint now) -> void;
 
-/// Another entry took it out of use until then.
+/// Applies an ejection that another entry reported.
 auto applyPeerEjection(ServerTable &table, ServerState &server, TimePoint until, TimePoint now) -> void;
 
-/// How much longer it is out of use, as this entry found itself or as any entry told; 0: it is not.
+/// Remaining time of an ejection, as decided by this entry or by any entry; zero if the server is not ejected.
 /// @{
 auto remainingOwnEjection(const ServerState &server, TimePoint now) -> Duration;
 auto remainingEjection(const ServerState &server, TimePoint now) -> Duration;
--- a/src/core/passthrough/enginecache.cpp
+++ b/src/core/passthrough/enginecache.cpp
@@ -8,15 +8,16 @@
 namespace
 {
 
-/// An engine's memory yields the parts used least recently; a part that nobody asked for in this time may be gone.
+/// An engine evicts the least recently used parts; one that was not used for this time may be gone.
 constexpr Duration RetentionTime = std::chrono::seconds(20);
 constexpr std::size_t MaxParts = 1024;
-/// An engine takes on no more than it can begin within some hundred milliseconds, so it has read by then what was sent.
+/// Time after which an engine has certainly processed a prompt sent to it: engines get no more work than they can start within a few
+/// hundred milliseconds.
 constexpr Duration PrefillDelay = std::chrono::milliseconds(500);
-/// Uses are told to others within some hundred milliseconds; older ones are dropped.
+/// Sent parts are reported to other entries within a few hundred milliseconds; older ones are dropped.
 constexpr Duration RecentSendAge = std::chrono::milliseconds(400);
 
-auto dropOldest(EngineCache &cache) -> void
+auto evictLeastRecentlyUsed(EngineCache &cache) -> void
 {
     const auto isOlder = [](const auto &a, const auto &b) { return a.second.lastSentAt < b.second.lastSentAt; };
     const auto oldest = std::min_element(cache.parts.begin(), cache.parts.end(), isOlder);
@@ -24,12 +25,12 @@
     cache.parts.erase(oldest);
 }
 
-auto isTooFull(const EngineCache &cache, std::uint64_t capacity) -> bool
+auto exceedsCapacity(const EngineCache &cache, std::uint64_t capacity) -> bool
 {
     return cache.parts.size() > MaxParts || (capacity > 0 && cache.tokens > capacity);
 }
 
-auto isKept(const EngineCache::Part &part, TimePoint now) -> bool
+auto isRetained(const EngineCache::Part &part, TimePoint now) -> bool
 {
     return now - part.lastSentAt < RetentionTime;
 }
@@ -38,21 +39,21 @@
 
 auto recordUse(EngineCache &cache, const PromptPart &part, std::uint64_t capacity, TimePoint now) -> void
 {
-    auto &known = cache.parts[part.id];
+    auto &cached = cache.parts[part.id];
     cache.tokens += part.tokens;
-    cache.tokens -= known.tokens;
-    const auto isNew = known.tokens == 0 || !isKept(known, now);
-    known = { .tokens = part.tokens, .firstSentAt = isNew ? now : known.firstSentAt, .lastSentAt = now };
-    while (cache.parts.size() > 1 && isTooFull(cache, capacity)) {
-        dropOldest(cache);
+    cache.tokens -= cached.tokens;
+    const auto isNew = cached.tokens == 0 || !isRetained(cached, now);
+    cached = { .tokens = part.tokens, .firstSentAt = isNew ? now : cached.firstSentAt, .lastSentAt = now };
+    while (cache.parts.size() > 1 && exceedsCapacity(cache, capacity)) {
+        evictLeastRecentlyUsed(cache);
     }
 }
 
 namespace
 {
 
-template <typename Counts>
-auto prefixTokens(const EngineCache &cache, const Prompt &prompt, Counts counts) -> std::uint32_t
+template <typename Predicate>
+auto prefixTokens(const EngineCache &cache, const Prompt &prompt, Predicate counts) -> std::uint32_t
 {
     std::uint32_t tokens = 0;
     for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i) {
@@ -69,18 +70,18 @@
 
 auto cachedPrefixTokens(const EngineCache &cache, const Prompt &prompt, TimePoint now) -> std::uint32_t
 {
-    return prefixTokens(cache, prompt, [now](const EngineCache::Part &part) { return isKept(part, now); });
+    return prefixTokens(cache, prompt, [now](const EngineCache::Part &part) { return isRetained(part, now); });
 }
 
 auto processedPrefixTokens(const EngineCache &cache, const Prompt &prompt, TimePoint now) -> std::uint32_t
 {
-    return prefixTokens(cache, prompt, [now](const EngineCache::Part &part) { return isKept(part, now) && now - part.firstSentAt >= PrefillDelay; });
+    return prefixTokens(cache, prompt, [now](const EngineCache::Part &part) { return isRetained(part, now) && now - part.firstSentAt >= PrefillDelay; });
 }
 
 auto containsPart(const EngineCache &cache, std::uint64_t part, TimePoint now) -> bool
 {
     const auto found = cache.parts.find(part);
-    return found != cache.parts.end() && isKept(found->second, now);
+    return found != cache.parts.end() && isRetained(found->second, now);
 }
 
 auto recordSentPart(RecentlySentParts &recent, const PromptPart &part, TimePoint now) -> void
--- a/src/core/passthrough/enginecache.h
+++ b/src/core/passthrough/enginecache.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the prefix cache of an engine is believed to hold: the parts of the prompts that entries sent there, each as long as
-/// it is likely to have stayed. Entries tell each other what they sent, so all of them believe the same.
+/// Model of an engine's prefix cache: the prompt parts that entries sent to the engine, each for as long as the engine is likely to keep
+/// it. Entries report to each other what they sent, so that all of them have the same model.
 
 #pragma once
 
@@ -18,26 +18,26 @@
 struct EngineCache {
     struct Part {
         std::uint32_t tokens = 0;
-        TimePoint firstSentAt; ///< there first, by any entry
-        TimePoint lastSentAt;  ///< sent there last
+        TimePoint firstSentAt; ///< first send to the engine by any entry, since the part was last evicted
+        TimePoint lastSentAt;  ///< last send to the engine
     };
     std::unordered_map<std::uint64_t, Part> parts; ///< by id
-    std::uint64_t tokens = 0;                      ///< of all parts
+    std::uint64_t tokens = 0;                      ///< sum over all parts
 };
 
-/// A prompt with this part was sent. \p capacity: tokens that the engine's memory holds; 0: not known
+/// Records that a prompt with this part was sent to the engine. \p capacity: tokens that fit into the engine's memory; 0: not known
 auto recordUse(EngineCache &cache, const PromptPart &part, std::uint64_t capacity, TimePoint now) -> void;
 
 auto containsPart(const EngineCache &cache, std::uint64_t part, TimePoint now) -> bool;
 
-/// Tokens of the prompt's leading parts that the engine keeps, or will when it has read what was sent: a part counts only while
-/// all parts before it are there too. The last part is the request's own and never counts.
+/// Tokens of the prompt's leading parts that the engine has cached, or will have once it has processed the prompts sent to it. A part
+/// counts only if all parts before it are cached too. The last part is unique to the request and never counts.
 auto cachedPrefixTokens(const EngineCache &cache, const Prompt &prompt, TimePoint now) -> std::uint32_t;
 
-/// The same of what it has surely read by now, so that another engine can fetch it.
+/// As cachedPrefixTokens(), but counts only parts that the engine has processed by now, so that another engine can copy them.
 auto processedPrefixTokens(const EngineCache &cache, const Prompt &prompt, TimePoint now) -> std::uint32_t;
 
-/// The parts that were sent to one engine lately, oldest first, to be told to other entries.
+/// The parts that were recently sent to one engine, oldest first, to be included in reports to other entries.
 struct RecentlySentParts {
     struct Sent {
         PromptPart part;
@@ -48,7 +48,7 @@
 
 auto recordSentPart(RecentlySentParts &recent, const PromptPart &part, TimePoint now) -> void;
 
-/// Adds the parts sent no longer ago than \p window to \p list, each once.
+/// Appends the parts sent no longer ago than \p window to \p list, without duplicates.
 auto appendSentWithin(const RecentlySentParts &recent, Duration window, TimePoint now, std::vector<PromptPart> &list) -> void;
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/errorevidence.cpp
+++ b/src/core/passthrough/errorevidence.cpp
@@ -9,16 +9,16 @@
 namespace
 {
 
-/// Part of a bad server's answers that are errors.
+/// Assumed share of errors among a faulty server's answers.
 constexpr double FaultyServerErrorRate = 0.7;
-/// However seldom requests fail, one error alone says little.
+/// Bounds of the baseline. However rarely requests of a route fail, a single error is only weak evidence.
 constexpr double MinBaselineRate = 0.02;
 constexpr double MaxBaselineRate = 0.5;
-/// Odds of ten thousand to one.
+/// Natural logarithm of odds of about ten thousand to one.
 constexpr double ConclusiveLogOdds = 9.2;
 constexpr double SuspectedLogOdds = ConclusiveLogOdds / 2;
 constexpr double StrongLogOdds = ConclusiveLogOdds - 0.3;
-/// Of one answer in the average of the errors of a route: the last fifty count.
+/// Weight of one answer in a route's baseline error rate: it covers about the last fifty.
 constexpr double AnswerWeight = 0.02;
 
 } // namespace
--- a/src/core/passthrough/errorevidence.h
+++ b/src/core/passthrough/errorevidence.h
@@ -1,32 +1,33 @@
 /// \file
-/// Whether a backend server fails requests by itself, judged from its answers one by one.
+/// Decides from the answers of a backend server, one by one, whether the server itself is faulty.
 ///
-/// The load that this answers: a burst in which one server answers with errors at once and so is the only one that always has room. It
-/// gets whatever waits anywhere, and fails it. Each answer shifts the odds that the server is bad against the odds that its errors belong
-/// to the requests, of which some fail at every server; a few errors in a row settle it, and so do many errors among good answers.
+/// The load pattern behind this: in a burst, one server answers every request with an error at once. It therefore always has capacity,
+/// attracts the requests that wait at all entries, and fails them. Each answer shifts the odds between two hypotheses: the server is
+/// faulty, or the errors are caused by the requests, some of which fail at every server. A few errors in a row decide it, and so do many
+/// errors among successful answers.
 
 #pragma once
 
 namespace auburnspread::passthrough
 {
 
-/// Part of a route's requests that fail wherever they go.
+/// Share of a route's requests that fail at any server.
 struct BaselineErrorRate {
-    double rate = 0.1; ///< at first, nothing being known; moves with each answer of a server that is not suspected
+    double rate = 0.1; ///< prior before any answer; updated by each answer of a server that is not suspected
 };
 
-/// Logarithm of the odds that a server is bad, never below 0.
+/// Log odds that a server is faulty, at least 0.
 struct ErrorEvidence {
     double logOdds = 0;
 };
 
 auto recordAnswer(ErrorEvidence &evidence, BaselineErrorRate &baseline, bool isError) -> void;
 
-/// Enough to stop using the server.
+/// Whether the evidence suffices to stop using the server.
 auto isConclusive(const ErrorEvidence &evidence) -> bool;
-/// Enough to use it carefully: one request at a time.
+/// Whether the evidence suffices to limit the server to one request at a time.
 auto isSuspected(const ErrorEvidence &evidence) -> bool;
-/// The next error convinces.
+/// Raises the evidence so far that the next error is conclusive.
 auto markStronglySuspected(ErrorEvidence &evidence) -> void;
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/serverlimit.cpp
+++ b/src/core/passthrough/serverlimit.cpp
@@ -9,15 +9,15 @@
 namespace
 {
 
-/// Over which all entries together keep to the limit.
+/// Window over which all entries together keep to the limit.
 constexpr Duration Window = RecentCount::Longest;
-/// Within which an entry keeps to its own part: longer than reports of others take, also in a large fleet.
+/// Window over which an entry keeps to its own share: longer than the delay of peer reports, even in a large fleet.
 constexpr Duration OwnShareWindow = std::chrono::seconds(1);
 
-/// Entries that share a limit of nothing: one of them may be down or without demand.
+/// Number of entries that may send even at a limit of zero: with only one, it might be down or have no requests.
 constexpr double MinSenders = 2;
 
-/// Part of the limit that requests may use if there are more urgent tiers: a request of these finds room at once.
+/// Share of the limit that requests may use if there are more urgent tiers, so that a more urgent request finds room at once.
 constexpr double ShareWithReserve = 0.75;
 
 auto seconds(Duration duration) -> double
@@ -25,7 +25,7 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-/// At least one: a limit of nothing could never be seen to end.
+/// \return at least one, since the end of a limit of zero could not be detected without sending a request
 auto requestsWithin(double perSecond, Duration window) -> double
 {
     return std::max(1.0, perSecond * seconds(window));
@@ -61,28 +61,29 @@
 
 auto allowedSenders(double perSecond, std::uint32_t entries) -> std::uint32_t
 {
-    const auto few = MinSenders + std::floor(std::max(perSecond, 0.0));
-    // Lists of entries may differ for a moment, and then twice as many send. With no more entries than that there is nobody to leave out.
-    return entries <= 2 * few ? entries : static_cast<std::uint32_t>(few);
+    const auto senders = MinSenders + std::floor(std::max(perSecond, 0.0));
+    // The entries' membership lists may differ for a moment, and then up to twice as many entries send. With no more entries than that,
+    // restricting the senders gains nothing.
+    return entries <= 2 * senders ? entries : static_cast<std::uint32_t>(senders);
 }
 
-auto maySend(const ServerLimit &limit, const LimitUsage &share, TimePoint now) -> bool
+auto maySend(const ServerLimit &limit, const LimitUsage &usage, TimePoint now) -> bool
 {
     const auto perSecond = newestStatement(limit).perSecond;
     if (!perSecond) {
         return true;
     }
-    const auto sharers = allowedSenders(*perSecond, share.entries);
-    if (share.entries == 0 || limit.senderRank >= sharers) {
+    const auto senders = allowedSenders(*perSecond, usage.entries);
+    if (usage.entries == 0 || limit.senderRank >= senders) {
         return false;
     }
-    const auto ownPart = *perSecond / sharers;
-    if (countWithin(limit.ownSends, OwnShareWindow, now) + 1 > requestsWithin(ownPart, OwnShareWindow)) {
+    const auto ownShare = *perSecond / senders;
+    if (countWithin(limit.ownSends, OwnShareWindow, now) + 1 > requestsWithin(ownShare, OwnShareWindow)) {
         return false;
     }
-    const auto allowed = share.peersKnown ? *perSecond : ownPart;
-    const auto usable = allowed * (share.leavesReserve ? ShareWithReserve : 1);
-    return share.sent + 1 <= requestsWithin(usable, Window);
+    const auto allowed = usage.peersKnown ? *perSecond : ownShare;
+    const auto usable = allowed * (usage.leavesReserve ? ShareWithReserve : 1);
+    return usage.sent + 1 <= requestsWithin(usable, Window);
 }
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/servertable.cpp
+++ b/src/core/passthrough/servertable.cpp
@@ -13,45 +13,44 @@
 namespace
 {
 
-/// First pause of a server that refused or broke a connection, and the longest after repeated failures. A crashed
-/// backend server is back after some seconds, with a new id.
+/// Shortest and longest time without new requests after a failed connection; repeated failures double the time. A crashed backend
+/// server is replaced within a few seconds, under a new id.
 constexpr Duration LeastSuspension = std::chrono::milliseconds(300);
 constexpr Duration LongestSuspension = std::chrono::seconds(3);
 
-/// A server counts as silent after this time, or after so many times the expected start if that is longer. An entry of a large
-/// fleet has one request or none on a server, so in a burst the first byte of the only one may well take seconds; taking
-/// the server for dead then would send its sessions to others, and these would be overloaded next.
+/// A server counts as unresponsive after MinSilence without a response, or after SilenceFactor times the expected time to the first
+/// byte if that is longer. In a large fleet, an entry has at most one request on a server, and in a burst its first byte may take
+/// seconds. Treating the server as dead in that case would move its sessions to other servers and overload these in turn.
 constexpr Duration MinSilence = std::chrono::milliseconds(1200);
 constexpr int SilenceFactor = 3;
-/// After this time without a send, one request finds out whether a silent server has come back. Dark servers stay so for
-/// some seconds; each that is tried costs one request.
+/// An unresponsive server gets one request as a probe when nothing was sent to it for this time. Unresponsive servers stay so for
+/// several seconds, and each probe of one that has not recovered costs a request.
 constexpr Duration SilenceProbe = std::chrono::milliseconds(2500);
 
-/// Weight of the newest outcome in the moving averages: about the last ten count.
+/// Weight of the newest outcome in the moving average of failures: it covers about the last ten.
 constexpr double OutcomeWeight = 0.1;
-/// Time in which a failure rate fades to a third. A server that is chosen no more shows no successes, so without this one
-/// failure in a quiet hour would keep it idle for ever; backend servers that turn bad do so for some seconds.
+/// Time in which a failure rate decays to about a third (1/e). A server that is not chosen has no successes to report, so without the
+/// decay a single failure at a time of low traffic would keep the server idle forever. Faulty backend servers recover within seconds.
 constexpr Duration FailureDecayTime = std::chrono::seconds(3);
 constexpr double SlownessWeight = 0.15;
 constexpr double LeastSlowness = 0.5;
 constexpr double MostSlowness = 20;
 
-auto hashOf(std::string_view id) -> std::uint64_t
+auto hashOf(std::string_view name) -> std::uint64_t
 {
-    return XXH64(id.data(), id.size(), 0);
+    return XXH64(name.data(), name.size(), 0);
 }
 
-/// Servers of a part, at most.
 constexpr std::size_t MaxServersPerShard = 256;
 
-/// A power of two, so that the parts seldom change as servers come and go.
+/// \return a power of two, so that the number of shards rarely changes as servers come and go
 auto countShards(std::size_t servers) -> std::size_t
 {
-    std::size_t parts = 1;
-    while (servers > parts * MaxServersPerShard) {
-        parts *= 2;
+    std::size_t shards = 1;
+    while (servers > shards * MaxServersPerShard) {
+        shards *= 2;
     }
-    return parts;
+    return shards;
 }
 
 auto assignShards(ServerGroup &group) -> void
@@ -64,8 +63,8 @@
 
 auto countLimited(ServerTable &table) -> void
 {
-    const auto isOne = [](const auto &item) { return isLimited(item.second->limit); };
-    table.limitedServers = static_cast<std::uint32_t>(std::count_if(table.byId.begin(), table.byId.end(), isOne));
+    const auto hasLimit = [](const auto &item) { return isLimited(item.second->limit); };
+    table.limitedServers = static_cast<std::uint32_t>(std::count_if(table.byId.begin(), table.byId.end(), hasLimit));
 }
 
 auto indexByService(ServerTable &table) -> void
@@ -82,32 +81,36 @@
     }
 }
 
-/// Failure: a server crashes and starts again under its id. Symptom: sessions go to a cache that is empty, requests wait for
-/// work that died with it, and it is passed over for failures of its earlier run. So a later start is another server: attempts of
-/// the earlier run keep its state to their end.
-/// \return whether the servers of a service are others now
+/// Adds or updates a server. A server that restarted under its id gets a new state; attempts on its earlier run keep the old state
+/// until they end.
+///
+/// Failure: a server crashes and restarts under the same id. Symptom: sessions are sent to an engine whose cache is now empty, requests
+/// wait for load that no longer exists, and the server is avoided because of failures before the restart.
+/// \return whether the indexes by service have to be rebuilt
 auto applyRecord(ServerTable &table, const Server &record) -> bool
 {
     auto &server = table.byId[record.id];
-    const auto isOther = !server || server->record.startedAt != record.startedAt || server->record.service != record.service;
-    if (isOther) {
+    const auto isNew = !server || server->record.startedAt != record.startedAt || server->record.service != record.service;
+    if (isNew) {
         server = std::make_shared<ServerState>();
         server->hash = hashOf(record.id);
     }
     server->record = record;
     server->returnDeadline.reset();
-    return isOther;
+    return isNew;
 }
 
-/// Until when a server that is absent may be back. Its registration may have lapsed while the registry was out of reach: dropping such
-/// servers at once would empty the list although every one lives. One that stood in a list since then has left: it must get nothing more.
+/// \return the time until which a server that is missing from the list is kept; nothing if it is removed at once
+///
+/// Registrations may lapse while the registry is unreachable, and removing servers at once would empty the list although all of them
+/// are alive. Once a list newer than the outage has been applied, a server that is missing has left and must get no more requests.
 auto returnDeadlineFor(const ServerTable &table, std::optional<TimePoint> outageEndedAt) -> std::optional<TimePoint>
 {
     const auto lapsed = outageEndedAt && table.listAsOf < *outageEndedAt;
     return lapsed ? std::optional(*outageEndedAt + ReturnTime) : std::nullopt;
 }
 
-/// \return whether it stays for now
+/// \return whether the missing server is kept for now
 auto keepUntilReturn(ServerState &server, std::optional<TimePoint> returnDeadline, TimePoint now) -> bool
 {
     if (!server.returnDeadline) {
@@ -134,19 +137,19 @@
 auto applyServerChanges(ServerTable &table, const ServersChanged &change, TimePoint now) -> void
 {
     const auto returnDeadline = returnDeadlineFor(table, change.outageEndedAt);
-    auto isOther = false;
+    auto needsIndexing = false;
     for (const auto &record : change.changed) {
-        isOther = applyRecord(table, record) || isOther;
+        needsIndexing = applyRecord(table, record) || needsIndexing;
     }
     for (const auto &id : change.removed) {
         const auto found = table.byId.find(id);
         if (found != table.byId.end() && !keepUntilReturn(*found->second, returnDeadline, now)) {
             table.byId.erase(found);
         }
-        isOther = true;
+        needsIndexing = true;
     }
     table.listAsOf = std::max(table.listAsOf, change.asOf);
-    if (isOther) {
+    if (needsIndexing) {
         indexByService(table);
     }
 }
@@ -168,14 +171,16 @@
 namespace
 {
 
-/// A statement that there is no limit any more is told for this long; entries that miss it learn it from their next answer.
+/// Time for which reports announce that a rate limit ended. An entry that misses these reports learns it from its next answer of the
+/// server.
 constexpr Duration LimitEndReportedFor = std::chrono::seconds(3);
 
+/// Rank of this entry in the server's rendezvous hash order of all entries.
 auto senderRankOf(const ServerTable &table, const ServerState &server) -> std::uint32_t
 {
-    const auto drawOf = [&server](std::uint64_t entry) { return XXH64(&entry, sizeof entry, server.hash); };
-    const auto own = drawOf(table.ownNameHash);
-    const auto isBefore = [&](std::uint64_t entry) { return drawOf(entry) > own; };
+    const auto scoreOf = [&server](std::uint64_t entry) { return XXH64(&entry, sizeof entry, server.hash); };
+    const auto ownScore = scoreOf(table.ownNameHash);
+    const auto isBefore = [&](std::uint64_t entry) { return scoreOf(entry) > ownScore; };
     return static_cast<std::uint32_t>(std::count_if(table.entryNameHashes.begin(), table.entryNameHashes.end(), isBefore));
 }
 
@@ -258,8 +263,8 @@
 
 auto fallbackShardForKey(const ServerGroup &group, std::uint64_t key) -> std::size_t
 {
-    const auto others = group.shards.size() - 1;
-    const auto step = others == 0 ? 0 : 1 + key / group.shards.size() % others;
+    const auto otherShards = group.shards.size() - 1;
+    const auto step = otherShards == 0 ? 0 : 1 + key / group.shards.size() % otherShards;
     return (shardForKey(group, key) + step) % group.shards.size();
 }
 
--- a/src/core/passthrough/servertable.h
+++ b/src/core/passthrough/servertable.h
@@ -1,6 +1,6 @@
 /// \file
-/// The backend servers as this entry knows them: the registered list, its own attempts in flight, what other entries
-/// report, and what own timings and failures say about each server's health.
+/// This entry's view of the backend servers: the registered list, the attempts that this entry has in flight, the load that
+/// other entries report, and the health of each server as its response times and failures show it.
 
 #pragma once
 
@@ -25,52 +25,54 @@
 namespace auburnspread::passthrough
 {
 
-/// What some entries have on a backend server.
+/// The load that one or several entries put on a backend server.
 struct ServerLoad {
-    std::uint32_t inFlight = 0;      ///< requests
-    std::uint32_t unreadTokens = 0;  ///< of prompts whose answer has not begun
-    std::uint32_t heldTokens = 0;    ///< of memory, prompts and answers
-    std::uint32_t waitingTokens = 0; ///< of prompts that wait at the entries for this server
-    std::uint32_t shortPrompts = 0;  ///< of the requests, those with a short prompt
-    std::uint32_t sentLately = 0;    ///< requests, also those that have ended, to a server with a limit
+    std::uint32_t inFlight = 0;      ///< requests in flight
+    std::uint32_t unreadTokens = 0;  ///< prompt tokens of requests that have not produced a first byte
+    std::uint32_t heldTokens = 0;    ///< tokens of engine memory reserved for prompts and answers
+    std::uint32_t waitingTokens = 0; ///< prompt tokens of requests queued at the entries for this server
+    std::uint32_t shortPrompts = 0;  ///< requests in flight that have a short prompt
+    std::uint32_t sentLately = 0;    ///< requests sent within the rate limit window, completed ones included; 0 without a rate limit
 };
 
-/// What one request puts on a server.
+/// The load that one request adds to a server.
 struct RequestLoad {
-    std::uint32_t unreadTokens = 0;
-    std::uint32_t heldTokens = 0;
-    bool isShort = false;
+    std::uint32_t unreadTokens = 0; ///< prompt tokens that the server has to process
+    std::uint32_t heldTokens = 0;   ///< tokens of engine memory, for the prompt and the answer
+    bool isShort = false;           ///< whether the prompt is short
 };
 
-/// One backend server.
+/// What this entry knows of one backend server.
 struct ServerState {
     Server record;
-    std::uint64_t hash = 0;                  ///< of the id, for rendezvous hashing
-    std::optional<TimePoint> returnDeadline; ///< absent from a list that may not be complete yet: is back by then, or gone
+    std::uint64_t hash = 0; ///< hash of the id, for rendezvous hashing
+    /// Set while the server is missing from a list that may be incomplete after a registry outage: the server is removed if
+    /// it is not listed again by this time.
+    std::optional<TimePoint> returnDeadline;
 
     ServerLoad ownLoad;       ///< attempts of this entry
-    ServerLoad peerLoad;      ///< as the other entries reported
-    ServerLoad reportedLoad;  ///< own work as of the last report
-    bool hasPeerLoad = false; ///< stands in ServerTable::serversWithPeerLoad
-
-    TimePoint lastSentAt;
-    std::optional<TimePoint> responseDueAt; ///< if nothing is heard by then, the server counts as silent; not set: nothing is due
-    TimePoint suspendedUntil;               ///< no work before
-    std::uint32_t consecutiveFailures = 0;  ///< of the kind that says the server is unreachable or dead
-    double failureRate = 0;                 ///< moving average of own failures, 0 to 1, as of failureRateAt
+    ServerLoad peerLoad;      ///< load reported by the other entries
+    ServerLoad reportedLoad;  ///< \c ownLoad as of this entry's last report
+    bool hasPeerLoad = false; ///< whether ServerTable::serversWithPeerLoad contains this server
+
+    TimePoint lastSentAt;                   ///< time of this entry's last send
+    std::optional<TimePoint> responseDueAt; ///< the server counts as unresponsive if it sends nothing by then; not set: no response is due
+    TimePoint suspendedUntil;               ///< no new requests before, after failed connections
+    std::uint32_t consecutiveFailures = 0;  ///< failures in a row that suggest an unreachable or crashed server
+    double failureRate = 0;                 ///< moving average of this entry's failures, 0 to 1, as of \c failureRateAt
     TimePoint failureRateAt;
     ErrorEvidence errorEvidence;
-    TimePoint ejectedUntil;      ///< no work before, because of its errors; see ejection.h
-    TimePoint ownEjectionUntil;  ///< as this entry tells others
-    TimePoint peerEjectionUntil; ///< as others told
-    double slowness = 1;         ///< moving average of observed to expected time to the first byte
+    TimePoint ejectedUntil;      ///< no new requests before, because the server answers with errors; see ejection.h
+    TimePoint ownEjectionUntil;  ///< end of the ejection that this entry reports to its peers
+    TimePoint peerEjectionUntil; ///< end of the latest ejection that peers reported
+    double slowness = 1;         ///< moving average of the ratio of observed to expected time to the first byte
 
     ServerLimit limit;
 
     EngineCache cache;
-    RecentlySentParts ownSentParts;    ///< by this entry
-    RecentlySentParts peerSentParts;   ///< by entries that told this one themselves
-    RecentlySentParts domainSentParts; ///< by entries of other failure domains, as their hubs told
+    RecentlySentParts ownSentParts;    ///< prompt parts sent by this entry
+    RecentlySentParts peerSentParts;   ///< prompt parts sent by entries that report to this one directly
+    RecentlySentParts domainSentParts; ///< prompt parts sent by entries of other failure domains, as reported by their hubs
 };
 
 using ServerPointer = std::shared_ptr<ServerState>;
@@ -78,95 +80,99 @@
 /// The servers of one service.
 struct ServerGroup {
     std::vector<ServerPointer> all;
-    /// \c all, dealt by hash into parts of equal size, more or less; one part where they are few.
+    /// \c all, split by hash into shards of roughly equal size; a small group has a single shard.
     ///
-    /// Failure: each placement looks at thousands of servers. Symptom: an entry's core is busy with choosing. A session belongs to one
-    /// part, so its engines stay the same, and a placement costs the same however many servers there are.
+    /// Failure: each placement compares thousands of servers. Symptom: choosing servers takes up the entry's whole core. With shards
+    /// the cost of a placement is bounded, and a session always maps to the same shard and thus to the same engines.
     std::vector<std::vector<ServerPointer>> shards;
 };
 
-/// A server that left the list is in none of these; its attempts keep its state until they end.
+/// All known servers. A server that left the list is removed from all indexes; attempts in flight on it keep its state alive
+/// until they end.
 struct ServerTable {
     std::map<std::string, ServerPointer, std::less<>> byId;
     std::unordered_map<std::string, ServerGroup> byService;
-    TimePoint listAsOf;            ///< as of when the list was told
-    bool hasLapsedServers = false; ///< servers are kept that are absent from the list; see ServerState::returnDeadline
+    TimePoint listAsOf;            ///< time as of which the server list is current
+    bool hasLapsedServers = false; ///< whether any server is missing from the list but kept; see ServerState::returnDeadline
+    /// The latest report of an entry, a failure domain or the fleet.
     struct ReceivedReport {
         PeerReported report;
         TimePoint receivedAt;
     };
-    std::map<std::string, ServerPointer> reportableServers;     ///< by this entry: there is something to tell of them
-    std::vector<ServerPointer> serversWithPeerLoad;             ///< as they told
-    std::string failureDomain;                                  ///< of this entry
-    std::uint64_t seed = 0;                                     ///< differs between entries
-    std::map<std::string, ReceivedReport> entryReports;         ///< reports of entries, by name
-    std::map<std::string, ReceivedReport> domainReports;        ///< sums of the other failure domains, by name
-    std::optional<ReceivedReport> fleetReport;                  ///< of all entries, as one of them summed them up
-    std::map<std::string, double> ownArrivalRates;              ///< a second, by service, as last told
-    bool usesFleetReport = false;                               ///< it holds more entries than told this one themselves
-    std::uint64_t reportCount = 0;                              ///< that were taken in; tells apart what was known before and after one
-    std::unordered_map<std::string, std::uint64_t> cacheTokens; ///< memory of an engine, by service
-    std::uint64_t ownNameHash = 0;                              ///< of this entry's name
-    std::vector<std::uint64_t> entryNameHashes;                 ///< of the names of all entries; empty: not known
-    std::vector<ServerPointer> changedLimits;                   ///< of which nobody was told yet
-    std::uint32_t limitedServers = 0;
+    std::map<std::string, ServerPointer> reportableServers;     ///< servers that the next report of this entry has to consider, by id
+    std::vector<ServerPointer> serversWithPeerLoad;             ///< servers named in the reports of other entries
+    std::string failureDomain;                                  ///< failure domain of this entry
+    std::uint64_t seed = 0;                                     ///< seed for hash-based draws, different at each entry
+    std::map<std::string, ReceivedReport> entryReports;         ///< latest report of each entry, by name
+    std::map<std::string, ReceivedReport> domainReports;        ///< latest aggregate of each other failure domain, by name
+    std::optional<ReceivedReport> fleetReport;                  ///< aggregate over all entries, computed by one of them
+    std::map<std::string, double> ownArrivalRates;              ///< this entry's requests per second, by service, as last reported
+    bool usesFleetReport = false;                               ///< whether \c fleetReport covers more entries than the other reports together
+    std::uint64_t reportCount = 0;                              ///< reports applied so far; shows whether anything changed since a decision
+    std::unordered_map<std::string, std::uint64_t> cacheTokens; ///< memory of an engine in tokens, by service
+    std::uint64_t ownNameHash = 0;                              ///< hash of this entry's name
+    std::vector<std::uint64_t> entryNameHashes;                 ///< hashes of the names of all live entries; empty: not known
+    std::vector<ServerPointer> changedLimits;                   ///< servers whose rate limit change has not been announced yet
+    std::uint32_t limitedServers = 0;                           ///< number of servers with a rate limit
 };
 
-/// Takes a new list over, or what changed in it. What is known of servers that stay is kept.
+/// Applies a complete server list, or the changes since the last one. Servers that remain keep their state.
 /// @{
 auto applyServerList(ServerTable &table, const ServersListed &list, TimePoint now) -> void;
 auto applyServerChanges(ServerTable &table, const ServersChanged &change, TimePoint now) -> void;
 /// @}
-/// Drops servers that stayed absent after an outage of the registry.
+/// Removes servers that have not returned to the list in time after a registry outage.
 auto removeLapsedServers(ServerTable &table, TimePoint now) -> void;
 
-/// The part of a service's servers to which this key belongs, and the one that is tried where that one is full.
+/// Index of the shard to which \p key maps, and of the one to try when that shard has no capacity.
 /// @{
 auto shardForKey(const ServerGroup &group, std::uint64_t key) -> std::size_t;
 auto fallbackShardForKey(const ServerGroup &group, std::uint64_t key) -> std::size_t;
 /// @}
 
+/// \return the server, or null if there is none with this id
 auto findServer(const ServerTable &table, std::string_view id) -> ServerPointer;
 
-/// The entries that are alive; none: not known.
+/// Sets the names of the live entries. An empty list means that they are not known.
 auto setEntryNames(ServerTable &table, const std::vector<std::string> &names) -> void;
 
-/// \name Rates at which servers take requests
+/// \name Rate limits of servers
 /// @{
-/// An answer of the server said so. \p sentAt: of its request
+/// Applies the rate limit, or its absence, stated in an answer of the server. \p sentAt: when the request was sent
 auto recordLimitStatement(ServerTable &table, ServerState &server, std::optional<double> perSecond, TimePoint sentAt, TimePoint now) -> void;
-/// Other entries told so, in a report of this scope.
+/// Applies a rate limit reported by other entries in a report of this scope.
 auto applyPeerLimit(ServerTable &table, ServerState &server, const LimitStatement &statement, ReportScope scope) -> void;
-/// What to tell of the server in a report of this scope; nothing if nothing was said lately.
+/// \return the server's rate limit, or the recent end of one, to include in a report of this scope; nothing if there is no such news
 auto limitForReport(const ServerState &server, ReportScope scope, TimePoint now) -> std::optional<PeerReported::Limit>;
 /// @}
 
-/// There is something to tell of the server.
+/// Has the next report of this entry consider the server.
 auto markReportable(ServerTable &table, const ServerState &server) -> void;
 
-/// \name What own attempts show
+/// \name Outcomes of this entry's attempts
 /// @{
-/// \p expected: time to the first byte
+/// \p expected: expected time to the first byte
 auto recordSend(ServerTable &table, ServerState &server, const RequestLoad &load, Duration expected, TimePoint now) -> void;
+/// The server sent something, so it is responsive.
 auto recordActivity(ServerState &server) -> void;
-/// The prompt was read: its first byte of answer is here, or the attempt ended.
+/// The prompt no longer counts as unread: the first byte of the answer arrived, or the attempt ended.
 auto recordPromptRead(ServerState &server, const RequestLoad &load) -> void;
-/// \return observed to expected, within bounds
+/// \return ratio of the observed to the expected time to the first byte, clamped
 auto recordFirstByteTime(ServerState &server, Duration observed, Duration expected) -> double;
 auto recordSuccess(ServerState &server, TimePoint now) -> void;
 auto recordFailure(ServerState &server, Failure failure, TimePoint now) -> void;
 auto recordAttemptEnd(ServerState &server, const RequestLoad &load) -> void;
 /// @}
 
-/// Of all entries, as far as known here.
+/// Load of all entries: this entry's own and the load reported by its peers.
 auto totalLoad(const ServerState &server) -> ServerLoad;
 
-/// Moving average of own failures; it fades with time, so that a server which failed is tried again.
+/// Moving average of this entry's failures. It decays with time, so that a server that failed is tried again.
 auto currentFailureRate(const ServerState &server, TimePoint now) -> double;
 
-/// Whether new work may go there.
+/// Whether new requests may be sent to the server.
 auto isUsable(const ServerState &server, TimePoint now) -> bool;
-/// Whether several sends have got no sign of life for too long.
+/// Whether a response is overdue and it is not yet time to probe the server with another request.
 auto isUnresponsive(const ServerState &server, TimePoint now) -> bool;
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/strain.h
+++ b/src/core/passthrough/strain.h
@@ -1,10 +1,11 @@
 /// \file
-/// Whether engines read so much that the answers running there suffer.
+/// Detects that engines process so many prompt tokens that the answers they are generating become too slow.
 ///
-/// An engine reads prompts in large chunks between the tokens of its answers. The load that this answers: a burst of long prompts on
-/// engines with large chunks, where an answer of a hundred tokens takes ten seconds beside constant reading and its caller gives up at
-/// eight. How much reading is too much depends on the engine's chunks, on the answers' lengths and on the callers' patience, so it
-/// is judged by what the answers that this entry relays show: the part of them that won't end in time, or pause too long, at their pace.
+/// An engine processes prompts in large chunks between the tokens of its answers. The load pattern behind this: a burst of long prompts
+/// on engines with large chunks, where an answer of a hundred tokens takes ten seconds beside continuous prompt processing, while its
+/// caller gives up after eight. How much prompt processing is too much depends on the engine's chunk size, the lengths of the answers
+/// and the callers' deadlines. It is therefore measured on the answers that this entry relays: the share of them that, at their current
+/// pace, will miss the deadline or pause too long.
 
 #pragma once
 
@@ -15,33 +16,33 @@
 namespace auburnspread::passthrough
 {
 
-/// An answer under way.
+/// Progress of a streaming answer.
 struct AnswerPace {
     TimePoint startedAt;
-    std::uint32_t events = 0;         ///< since the first
-    std::uint32_t expectedEvents = 0; ///< of the whole answer; 0: no guess
+    std::uint32_t events = 0;         ///< events received after the first
+    std::uint32_t expectedEvents = 0; ///< estimated events of the whole answer; 0: no estimate
     TimePoint deadline;
-    Duration longestPause{}; ///< between two events, for full value; 0: not given
+    Duration longestPause{}; ///< longest pause between two events that still gives full value; 0: not set
 };
 
-/// Whether it will end too late, or pause too long, if it goes on at its pace.
+/// Whether the answer, at its current pace, will miss its deadline or pauses too long between events.
 auto isStrained(const AnswerPace &pace, TimePoint now) -> bool;
 
-/// Moving average over events: the part of them whose answers were strained, 0 to 1.
+/// Moving average over the events of answers.
 struct Strain {
-    double share = 0.1; ///< at first, nothing being known: somewhat careful, and forgotten within some sixty events
+    double share = 0.1; ///< events whose answer was strained, 0 to 1; starts slightly cautious and adapts within about sixty events
 };
 
 auto recordEvents(Strain &strain, std::uint32_t events, bool strained) -> void;
 
-/// Part of the usual work that may lie before a prompt. Less where answers suffer: an engine that has nothing to read at times gives
-/// its answers ten tokens in the time of one.
+/// Factor for the amount of work that may be queued ahead of a prompt on an engine; lower under strain. An engine that has no prompts
+/// to process for a while generates ten tokens of its answers in the time of one.
 auto queuedWorkFactor(const Strain &strain) -> double;
 
-/// Least of queuedWorkFactor().
+/// Lower bound of queuedWorkFactor().
 constexpr double MinQueuedWorkFactor = 0.4;
 
-/// Times the room of the engines that what waits is released by: see MaxReleaseFactor. Less where answers suffer.
+/// How many times the engines' free capacity is released from the queue at once, see MaxReleaseFactor; lower under strain.
 auto releaseFactor(const Strain &strain) -> double;
 
 } // namespace auburnspread::passthrough
