--- a/src/core/passthrough/peerreports.cpp
+++ b/src/core/passthrough/peerreports.cpp
@@ -14,24 +14,24 @@
 namespace
 {
 
-/// A report is sent several times a second; after this time the peer has stopped or cannot reach us.
+/// Reports are sent several times a second; after this time without one, the peer has stopped or cannot reach this entry.
 constexpr Duration MaxPeerReportAge = std::chrono::milliseconds(1500);
 
-auto addUse(ServerLoad &work, const PeerReported::Use &use) -> void
+auto addLoad(ServerLoad &load, const PeerReported::Use &use) -> void
 {
-    work.inFlight += use.inFlight;
-    work.unreadTokens += use.unreadTokens;
-    work.heldTokens += use.heldTokens;
-    work.waitingTokens += use.waitingTokens;
-    work.shortPrompts += use.shortPrompts;
-    work.sentLately += use.sentLately;
+    load.inFlight += use.inFlight;
+    load.unreadTokens += use.unreadTokens;
+    load.heldTokens += use.heldTokens;
+    load.waitingTokens += use.waitingTokens;
+    load.shortPrompts += use.shortPrompts;
+    load.sentLately += use.sentLately;
 }
 
 auto loadFrom(const PeerReported::Use &use) -> ServerLoad
 {
-    ServerLoad work;
-    addUse(work, use);
-    return work;
+    ServerLoad load;
+    addLoad(load, use);
+    return load;
 }
 
 auto subtract(std::uint32_t all, std::uint32_t part) -> std::uint32_t
@@ -51,37 +51,41 @@
     };
 }
 
-/// A sum that holds this much fewer entries than the one before is one of an entry that hears only some of them.
+/// An aggregate that covers less than this share of the entries of the previous one comes from an entry that receives only some of the
+/// reports.
 constexpr double MinEntryShare = 0.95;
-/// Once the sum before is older than this it is replaced all the same: the entries may be gone.
+/// A previous aggregate older than this is replaced in any case, since the missing entries may have stopped.
 constexpr Duration MaxSumAge = std::chrono::milliseconds(350);
 
-/// Failure: several entries sum up, one of them hears only a part of the fleet, and its sum comes later. Symptom: engines are taken for
-/// nearly idle, and get three times the work that they can do.
-auto replaces(const PeerReported &sum, const ServerTable::ReceivedReport &held, TimePoint now) -> bool
+/// Whether a new aggregate replaces the previous one.
+///
+/// Failure: several entries send aggregates, and one that receives reports of only a part of the fleet sends last. Symptom: engines look
+/// nearly idle and get three times the load that they can handle.
+auto replaces(const PeerReported &sum, const ServerTable::ReceivedReport &previous, TimePoint now) -> bool
 {
-    return sum.entries >= MinEntryShare * held.report.entries || now - held.receivedAt > MaxSumAge;
+    return sum.entries >= MinEntryShare * previous.report.entries || now - previous.receivedAt > MaxSumAge;
 }
 
-/// The entries of a failure domain whose sum is known are in that sum.
+/// Whether the load of this report is not already covered by the aggregate of the reporting entry's failure domain.
 auto isCounted(const ServerTable &table, const PeerReported &report) -> bool
 {
     return report.failureDomain == table.failureDomain || !table.domainReports.contains(report.failureDomain);
 }
 
-/// The reports that a sum of this scope counts, each once; without this entry's own.
+/// Visits the received reports that an aggregate of this scope covers, so that each entry's load is counted once. This entry's own load
+/// is not among them.
 template <typename Visit>
 auto forEachReport(const ServerTable &table, ReportScope scope, Visit visit) -> void
 {
     const auto isFleet = scope == ReportScope::Fleet;
-    for (const auto &[name, use] : table.entryReports) {
-        if (isFleet ? isCounted(table, use.report) : use.report.failureDomain == table.failureDomain) {
-            visit(use.report);
+    for (const auto &[name, received] : table.entryReports) {
+        if (isFleet ? isCounted(table, received.report) : received.report.failureDomain == table.failureDomain) {
+            visit(received.report);
         }
     }
     if (isFleet) {
-        for (const auto &[domain, use] : table.domainReports) {
-            visit(use.report);
+        for (const auto &[domain, received] : table.domainReports) {
+            visit(received.report);
         }
     }
 }
@@ -98,7 +102,7 @@
     return table.fleetReport && table.fleetReport->report.entries > reportingEntries(table) + 1;
 }
 
-auto addUses(ServerTable &table, const PeerReported &report) -> void
+auto addReportedLoads(ServerTable &table, const PeerReported &report) -> void
 {
     for (const auto &use : report.uses) {
         const auto server = findServer(table, use.server);
@@ -108,11 +112,11 @@
         if (!std::exchange(server->hasPeerLoad, true)) {
             table.serversWithPeerLoad.push_back(server);
         }
-        addUse(server->peerLoad, use);
+        addLoad(server->peerLoad, use);
     }
 }
 
-auto subtractUses(const ServerTable &table, const PeerReported &report) -> void
+auto subtractReportedLoads(const ServerTable &table, const PeerReported &report) -> void
 {
     for (const auto &use : report.uses) {
         if (const auto server = findServer(table, use.server)) {
@@ -121,14 +125,16 @@
     }
 }
 
-/// Parts smaller than this are read again in less time than a report of them is worth.
+/// Smaller parts are not reported: an engine processes them again at less cost than reporting them.
 constexpr std::uint32_t MinReportedTokens = 512;
 
-/// Datagrams get lost now and then, so each use of a cache is told in two reports, and in two sums or by two hubs.
+/// Datagrams are lost occasionally, so each sent part is included in two reports, and in two aggregates or those of two hubs.
 constexpr Duration ReportedSendWindow = 2 * ReportInterval;
 
-/// Failure: what one failure domain told goes back to it as another one's. Symptom: parts are told for ever, and datagrams grow with
-/// all that was ever sent. So a sum tells the parts of those whose requests it counts.
+/// The recently sent prompt parts to include in a report of this scope: only those sent by the entries whose load the report covers.
+///
+/// Failure: a failure domain's parts are reported back to it as those of another domain. Symptom: parts are reported forever, and
+/// datagrams grow with every part that was ever sent.
 auto partsForReport(const ServerState &server, ReportScope scope, TimePoint now) -> std::vector<PromptPart>
 {
     std::vector<PromptPart> parts;
@@ -142,19 +148,19 @@
     return parts;
 }
 
-/// \p work: of the entries that a report of this scope counts
-auto makeUse(const ServerState &server, const ServerLoad &work, ReportScope scope, TimePoint now) -> PeerReported::Use
+/// \p load: total load of the entries that a report of this scope covers
+auto makeUse(const ServerState &server, const ServerLoad &load, ReportScope scope, TimePoint now) -> PeerReported::Use
 {
     return {
         .server = server.record.id,
-        .inFlight = work.inFlight,
-        .unreadTokens = work.unreadTokens,
-        .heldTokens = work.heldTokens,
-        .waitingTokens = work.waitingTokens,
-        .shortPrompts = work.shortPrompts,
+        .inFlight = load.inFlight,
+        .unreadTokens = load.unreadTokens,
+        .heldTokens = load.heldTokens,
+        .waitingTokens = load.waitingTokens,
+        .shortPrompts = load.shortPrompts,
         .ejectedFor = scope == ReportScope::Entry ? remainingOwnEjection(server, now) : remainingEjection(server, now),
         .limit = limitForReport(server, scope, now),
-        .sentLately = work.sentLately,
+        .sentLately = load.sentLately,
         .sent = partsForReport(server, scope, now),
     };
 }
@@ -164,22 +170,24 @@
     return use.inFlight > 0 || use.waitingTokens > 0 || use.ejectedFor > Duration::zero() || use.limit || use.sentLately > 0 || !use.sent.empty();
 }
 
-/// Servers that a sum names: as many as go into one datagram. One with a limit takes half as much again.
+/// Number of servers in an aggregate, chosen so that it fits into one datagram. A server with a rate limit takes half as much space again.
 constexpr std::size_t MaxSummedServers = 200;
 
-/// Failure: a sum of thousands of servers is longer than a datagram and gets lost as a whole. Symptom: entries know only what they send
-/// themselves. The servers with least work are left out; they are believed idle, which is nearly true.
+/// Drops the servers with the least load until the aggregate fits into a datagram; receivers take these for idle, which is nearly true.
+///
+/// Failure: an aggregate of thousands of servers exceeds the size of a datagram and is lost as a whole. Symptom: entries know only their
+/// own load.
 auto keepBusiest(std::vector<PeerReported::Use> &uses) -> void
 {
     const auto limited = static_cast<std::size_t>(std::count_if(uses.begin(), uses.end(), [](const PeerReported::Use &use) { return use.limit.has_value(); }));
-    const auto named = std::max(MaxSummedServers - std::min(limited / 2, MaxSummedServers), MaxSummedServers * 2 / 3);
-    if (uses.size() <= named) {
+    const auto kept = std::max(MaxSummedServers - std::min(limited / 2, MaxSummedServers), MaxSummedServers * 2 / 3);
+    if (uses.size() <= kept) {
         return;
     }
-    const auto rankOf = [](const PeerReported::Use &use) { return std::tuple(use.limit.has_value(), use.ejectedFor, use.heldTokens + use.unreadTokens); };
-    const auto isBusier = [rankOf](const PeerReported::Use &a, const PeerReported::Use &b) { return rankOf(a) > rankOf(b); };
-    std::nth_element(uses.begin(), uses.begin() + static_cast<std::ptrdiff_t>(named), uses.end(), isBusier);
-    uses.resize(named);
+    const auto priorityOf = [](const PeerReported::Use &use) { return std::tuple(use.limit.has_value(), use.ejectedFor, use.heldTokens + use.unreadTokens); };
+    const auto isBusier = [priorityOf](const PeerReported::Use &a, const PeerReported::Use &b) { return priorityOf(a) > priorityOf(b); };
+    std::nth_element(uses.begin(), uses.begin() + static_cast<std::ptrdiff_t>(kept), uses.end(), isBusier);
+    uses.resize(kept);
 }
 
 auto capacityOf(const ServerTable &table, const ServerState &server) -> std::uint64_t
@@ -188,7 +196,7 @@
     return found == table.cacheTokens.end() ? 0 : found->second;
 }
 
-/// A shared part was sent there, or is there: believed from now on, and told to the other entries.
+/// Records that the server's engine has a shared prompt part cached, or will have, and includes it in the next reports to other entries.
 auto recordOwnUse(ServerTable &table, ServerState &server, const PromptPart &part, TimePoint now) -> void
 {
     recordUse(server.cache, part, capacityOf(table, server), now);
@@ -213,13 +221,13 @@
         server->hasPeerLoad = false;
     }
     if (table.usesFleetReport) {
-        addUses(table, table.fleetReport->report);
+        addReportedLoads(table, table.fleetReport->report);
         for (const auto &server : table.serversWithPeerLoad) {
-            server->peerLoad = without(server->peerLoad, server->reportedLoad); // not what it has now: that was not told yet
+            server->peerLoad = without(server->peerLoad, server->reportedLoad); // not ownLoad: the changes since the last report are not in the aggregate yet
         }
         return;
     }
-    forEachReport(table, ReportScope::Fleet, [&table](const PeerReported &report) { addUses(table, report); });
+    forEachReport(table, ReportScope::Fleet, [&table](const PeerReported &report) { addReportedLoads(table, report); });
 }
 
 namespace
@@ -275,21 +283,21 @@
 namespace
 {
 
-/// Own work with that of the entries that told this one; by server, those that anybody uses.
+/// Load of this entry and of the entries covered by the received reports, for each server with any load or news, by id.
 auto sumLoads(const ServerTable &table, ReportScope scope, TimePoint now) -> std::map<std::string_view, ServerLoad>
 {
     std::map<std::string_view, ServerLoad> sum;
     for (const auto &[id, server] : table.byId) {
-        const auto isUsed = server->ownLoad.inFlight > 0 || server->ownLoad.waitingTokens > 0;
-        const auto isTold = !server->ownSentParts.sent.empty() || !server->peerSentParts.sent.empty() || !server->domainSentParts.sent.empty();
-        if (isUsed || isTold || remainingEjection(*server, now) > Duration::zero() || limitForReport(*server, scope, now)) {
-            auto &work = sum[id] = server->ownLoad;
-            work.sentLately = sendsWithinWindow(server->limit, now);
+        const auto hasOwnLoad = server->ownLoad.inFlight > 0 || server->ownLoad.waitingTokens > 0;
+        const auto hasSentParts = !server->ownSentParts.sent.empty() || !server->peerSentParts.sent.empty() || !server->domainSentParts.sent.empty();
+        if (hasOwnLoad || hasSentParts || remainingEjection(*server, now) > Duration::zero() || limitForReport(*server, scope, now)) {
+            auto &load = sum[id] = server->ownLoad;
+            load.sentLately = sendsWithinWindow(server->limit, now);
         }
     }
     forEachReport(table, scope, [&sum](const PeerReported &report) {
         for (const auto &use : report.uses) {
-            addUse(sum[use.server], use);
+            addLoad(sum[use.server], use);
         }
     });
     std::erase_if(sum, [&table](const auto &item) { return !table.byId.contains(item.first); });
@@ -305,9 +313,9 @@
         report.arrivals.push_back({ .service = service, .perSecond = perSecond + sumArrivals(table, service, scope) });
     }
     report.entries += countReportedEntries(table, scope);
-    for (const auto &[id, work] : sumLoads(table, scope, now)) {
+    for (const auto &[id, load] : sumLoads(table, scope, now)) {
         const auto server = findServer(table, id);
-        auto use = makeUse(*server, work, scope, now);
+        auto use = makeUse(*server, load, scope, now);
         if (isReportable(use)) {
             report.uses.push_back(std::move(use));
         }
@@ -357,17 +365,17 @@
 namespace
 {
 
-/// Only what changed is counted: an entry that sums up hears a thousand reports a second.
+/// Updates the peer load incrementally: an entry that computes aggregates receives a thousand reports a second.
 auto applyEntryReport(ServerTable &table, const PeerReported &report, TimePoint now) -> void
 {
-    auto &held = table.entryReports[report.entry];
-    const auto isInOthers = [&table](const PeerReported &each) { return !table.usesFleetReport && isCounted(table, each); };
-    if (isInOthers(held.report)) {
-        subtractUses(table, held.report);
+    auto &previous = table.entryReports[report.entry];
+    const auto isInPeerLoad = [&table](const PeerReported &each) { return !table.usesFleetReport && isCounted(table, each); };
+    if (isInPeerLoad(previous.report)) {
+        subtractReportedLoads(table, previous.report);
     }
-    held = { .report = report, .receivedAt = now };
-    if (isInOthers(held.report)) {
-        addUses(table, held.report);
+    previous = { .report = report, .receivedAt = now };
+    if (isInPeerLoad(previous.report)) {
+        addReportedLoads(table, previous.report);
     }
     if (table.usesFleetReport != prefersFleetReport(table)) {
         rebuildPeerLoads(table);
@@ -413,14 +421,14 @@
 
 auto expirePeerReports(ServerTable &table, TimePoint now) -> void
 {
-    const auto isOld = [now](const ServerTable::ReceivedReport &use) { return now - use.receivedAt > MaxPeerReportAge; };
+    const auto isOld = [now](const ServerTable::ReceivedReport &received) { return now - received.receivedAt > MaxPeerReportAge; };
     auto expired = std::erase_if(table.entryReports, [&](const auto &item) { return isOld(item.second); });
     expired += std::erase_if(table.domainReports, [&](const auto &item) { return isOld(item.second); });
-    const auto totalIsOld = table.fleetReport && isOld(*table.fleetReport);
-    if (totalIsOld) {
+    const auto fleetReportIsOld = table.fleetReport && isOld(*table.fleetReport);
+    if (fleetReportIsOld) {
         table.fleetReport.reset();
     }
-    if (expired > 0 || totalIsOld) {
+    if (expired > 0 || fleetReportIsOld) {
         rebuildPeerLoads(table);
     }
 }
--- a/src/core/passthrough/peerreports.h
+++ b/src/core/passthrough/peerreports.h
@@ -1,9 +1,9 @@
 /// \file
-/// What entries tell each other of the backend servers: what they have in flight there, and what engines' caches hold.
+/// Reports that entries exchange about the backend servers: the load that they put on them, and the contents of engines' caches.
 ///
-/// In a large fleet each entry tells a few of its failure domain, which tell their sum to those of the other domains and the sum of all
-/// to the entries of their own. An entry hears the same from several sides, and not always the whole: it believes what counts the
-/// most entries.
+/// In a large fleet, each entry reports to a few hubs in its failure domain. A hub sends the aggregate of its domain to the hubs of the
+/// other domains, and the aggregate of the whole fleet to the entries of its own. An entry therefore receives the same load along
+/// several paths, and not every report is complete; it uses the one that covers the most entries.
 
 #pragma once
 
@@ -17,22 +17,23 @@
 namespace auburnspread::passthrough
 {
 
-/// Believed from now on, and told to the other entries.
+/// Adds the parts that an engine lists to the model of its cache and to the next reports to other entries.
 auto applyCacheListing(ServerTable &table, const CacheListed &listed, TimePoint now) -> void;
 auto applyPeerReport(ServerTable &table, const PeerReported &report, TimePoint now) -> void;
-/// This entry's own report, or the sum of its own with the fresh ones of its failure domain, or of all.
+/// Creates the report of this entry's own load.
 auto makeEntryReport(ServerTable &table, const std::string &entry, TimePoint now) -> PeerReported;
+/// Creates an aggregate of this entry's load and the current reports of its failure domain or of the whole fleet.
 auto makeSumReport(const ServerTable &table, const std::string &entry, ReportScope scope, TimePoint now) -> PeerReported;
-/// The servers changed: what was reported of them is summed up anew.
+/// Recomputes the peer load of all servers from the received reports, for example after the server list changed.
 auto rebuildPeerLoads(ServerTable &table) -> void;
-/// Requests a second for this service at the other entries, as they told.
+/// Requests per second for this service at the other entries, as reported.
 auto peerArrivalRate(const ServerTable &table, const std::string &service) -> double;
-/// Entries whose requests this one knows of, itself not included.
+/// Number of entries covered by the reports of entries and failure domains, without this one.
 auto reportingEntries(const ServerTable &table) -> std::uint32_t;
-/// Forgets reports that are too old to say anything.
+/// Removes reports that are too old to be meaningful.
 auto expirePeerReports(ServerTable &table, TimePoint now) -> void;
 
-/// A prompt goes there: its shared parts, all but the last, will be in the engine's cache.
+/// Records that a prompt was sent to the server: its shared parts, all but the last, will be in the engine's cache.
 auto recordPromptSent(ServerTable &table, ServerState &server, const Prompt &prompt, TimePoint now) -> void;
 
 } // namespace auburnspread::passthrough
