--- a/src/apps/gateway/main.cpp
+++ b/src/apps/gateway/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The pass-through entry's process.
+/// Main program of the pass-through entry.
 
 #include "gateway/gateway.h"
 #include "gateway/settings/gatewaysettings.h"
@@ -23,8 +23,8 @@
 {
 
 constexpr auto ProgramName = "auburnspread-gateway";
-constexpr int DefectExit = 3;
-constexpr int LogLinesPerSecond = 200; ///< of one event name: about twice the sends of a VM in a burst
+constexpr int StartFailureExit = 3;
+constexpr int LogLinesPerSecond = 200; ///< limit for each event name: about twice the number of attempts that a VM sends in a burst
 
 auto onSignal(task::EventLoop &loop, int signal, std::function<void()> &action) -> task::EventPointer
 {
@@ -39,8 +39,8 @@
     return settings::readCommandLine(argc, argv, gateway::gatewaySchema(), ProgramName, AUBURNSPREAD_VERSION);
 }
 
-/// Takes over what can take effect at once; the rest holds from the next start. Settings that are not valid change nothing.
-auto takeNewSettings(gateway::Gateway &entry, int argc, char **argv) -> void
+/// Applies the reloadable settings; the others take effect at the next start. Invalid settings change nothing.
+auto reloadSettings(gateway::Gateway &entry, int argc, char **argv) -> void
 {
     const auto read = readSettings(argc, argv);
     const auto *valid = std::get_if<settings::Settings>(&read);
@@ -49,16 +49,17 @@
         return;
     }
     const auto changed = gateway::readGatewaySettings(*valid);
-    const auto isAllInForce = entry.takeSettings(changed);
+    const auto isFullyApplied = entry.applySettings(changed);
     logging::setLevel(logging::levelFromName(changed.logLevel).value_or(logging::Level::Info));
-    logging::event(logging::Level::Info, "settings-reread", { { "valid", true }, { "needs_restart", !isAllInForce } });
+    logging::event(logging::Level::Info, "settings-reread", { { "valid", true }, { "needs_restart", !isFullyApplied } });
 }
 
-/// The file may change without a signal. Tells of each change once, also of one to something that is not valid.
-class FileWatch
+/// Polls the settings file, which may change without a signal. Calls \p onChanged once for each change, also if the file became
+/// invalid.
+class SettingsFileWatch
 {
 public:
-    FileWatch(task::EventLoop &loop, int argc, char **argv, std::function<void()> onChanged)
+    SettingsFileWatch(task::EventLoop &loop, int argc, char **argv, std::function<void()> onChanged)
         : text_(settings::readSettingsFile(argc, argv))
         , timer_(loop.every(Interval, [this, argc, argv, onChanged = std::move(onChanged)]() {
             auto text = settings::readSettingsFile(argc, argv);
@@ -70,7 +71,7 @@
     }
 
 private:
-    static constexpr Duration Interval = std::chrono::seconds(1); // half of the least time in which a change has to hold
+    static constexpr Duration Interval = std::chrono::seconds(1); // half of the shortest time within which a changed file must take effect
 
     std::string text_;
     task::Watch timer_;
@@ -81,14 +82,14 @@
     std::signal(SIGPIPE, SIG_IGN);
     task::EventLoop loop;
     gateway::Gateway entry(loop, settings);
-    std::function<void()> leave = [&]() {
+    std::function<void()> drain = [&]() {
         logging::event(logging::Level::Info, "leaving", { { "entry", settings.name } });
-        entry.leave([&loop]() { loop.stop(); });
+        entry.drain([&loop]() { loop.stop(); });
     };
-    std::function<void()> reload = [&entry, argc, argv]() { takeNewSettings(entry, argc, argv); };
-    const FileWatch fileWatch(loop, argc, argv, reload);
-    const auto onTerminate = onSignal(loop, SIGTERM, leave);
-    const auto onInterrupt = onSignal(loop, SIGINT, leave);
+    std::function<void()> reload = [&entry, argc, argv]() { reloadSettings(entry, argc, argv); };
+    const SettingsFileWatch fileWatch(loop, argc, argv, reload);
+    const auto onTerminate = onSignal(loop, SIGTERM, drain);
+    const auto onInterrupt = onSignal(loop, SIGINT, drain);
     const auto onHangup = onSignal(loop, SIGHUP, reload);
     logging::event(logging::Level::Info, "started", { { "entry", settings.name }, { "caller", entry.callerAddress() } });
     entry.start();
@@ -116,6 +117,6 @@
         return EXIT_SUCCESS;
     } catch (const std::exception &error) {
         logging::event(logging::Level::Error, "not-started", { { "step", "start" }, { "error", error.what() } });
-        return DefectExit;
+        return StartFailureExit;
     }
 }
--- a/src/gateway/accounting.cpp
+++ b/src/gateway/accounting.cpp
@@ -33,117 +33,117 @@
     , failures_(metrics::declareAttemptFailures(registry_))
     , retries_(metrics::declareRetries(registry_))
     , sends_(registry_.counter({ .name = "auburnspread_sends_total", .help = "Attempts sent to backend servers." }))
-    , answers_(registry_.counter({ .name = "auburnspread_answers_total", .help = "Answers of backend servers that were passed on whole." }))
-    , breaks_(registry_.counter({ .name = "auburnspread_broken_answers_total", .help = "Answers that were begun and broken off." }))
-    , gone_(registry_.counter({ .name = "auburnspread_callers_gone_total", .help = "Callers that left before their answer was complete." }))
+    , deliveredResponses_(registry_.counter({ .name = "auburnspread_answers_total", .help = "Answers of backend servers that were passed on whole." }))
+    , abortedResponses_(registry_.counter({ .name = "auburnspread_broken_answers_total", .help = "Answers that were begun and broken off." }))
+    , callersGone_(registry_.counter({ .name = "auburnspread_callers_gone_total", .help = "Callers that left before their answer was complete." }))
     , firstByte_(registry_.histogram({ .name = "auburnspread_first_byte_seconds", .help = "From arrival to the first byte of the answer." }))
-    , whole_(registry_.histogram({ .name = "auburnspread_answer_seconds", .help = "From arrival to the end of the answer." }))
+    , responseTime_(registry_.histogram({ .name = "auburnspread_answer_seconds", .help = "From arrival to the end of the answer." }))
     , waiting_(registry_.gauge({ .name = "auburnspread_waiting_requests", .help = "Requests that wait for a backend server." }))
     , inFlight_(registry_.gauge({ .name = "auburnspread_attempts_in_flight", .help = "Attempts under way." }))
-    , servers_(registry_.gauge({ .name = "auburnspread_backend_servers", .help = "Backend servers in the list." }))
+    , backendServers_(registry_.gauge({ .name = "auburnspread_backend_servers", .help = "Backend servers in the list." }))
     , limitedServers_(registry_.gauge({ .name = "auburnspread_limited_servers", .help = "Backend servers that named a limit on their requests." }))
-    , entries_(registry_.gauge({ .name = "auburnspread_entries", .help = "Entries that are alive." }))
-    , version_(registry_.gauge({ .name = "auburnspread_configuration_version", .help = "Version in force here." }))
-    , age_(registry_.gauge({ .name = "auburnspread_configuration_age_seconds", .help = "Since the configuration was last confirmed." }))
+    , aliveEntries_(registry_.gauge({ .name = "auburnspread_entries", .help = "Entries that are alive." }))
+    , configurationVersion_(registry_.gauge({ .name = "auburnspread_configuration_version", .help = "Version in force here." }))
+    , configurationAge_(registry_.gauge({ .name = "auburnspread_configuration_age_seconds", .help = "Since the configuration was last confirmed." }))
     , invalidInputs_(registry_.counter({ .name = "auburnspread_invalid_inputs_total", .help = "Documents, registrations and messages that made no sense." }))
     , documentPartFailures_(registry_.counter(
           { .name = "auburnspread_configuration_part_failures_total", .help = "Parts of a configuration that did not come from another entry." }))
     , storeCalls_(registry_.gauge({ .name = "auburnspread_store_calls", .help = "Calls to the platform's store since the start." }))
-    , token_(registry_.gauge({ .name = "auburnspread_leader_token", .help = "Fencing token of this entry's term as leader; 0: it does not lead." }))
+    , leaderToken_(registry_.gauge({ .name = "auburnspread_leader_token", .help = "Fencing token of this entry's term as leader; 0: it does not lead." }))
     , usageReports_(registry_.counter({ .name = "auburnspread_usage_reports_total", .help = "Windows whose usage this entry sent, repeats included." }))
     , serverOrders_(registry_.counter({ .name = "auburnspread_server_orders_total", .help = "Orders of backend servers that this entry gave." }))
 {
 }
 
-auto Accounting::sent(const RequestLabels &labels, const passthrough::Send &order) -> void
+auto Accounting::attemptSent(const RequestLogContext &context, const passthrough::Send &action) -> void
 {
     sends_.add();
-    if (order.repeatedAfter) {
-        retries_.add(*order.repeatedAfter);
+    if (action.repeatedAfter) {
+        retries_.add(*action.repeatedAfter);
     }
     event(Level::Info,
           "sent",
-          { { "request", labels.request },
-            { "peer", order.server },
-            { "attempt", static_cast<std::uint64_t>(order.attempt) },
-            { "rank", order.rank },
-            { "repeat", order.isRepeat },
-            { "resumed_after", order.lastEventId },
-            { "estimated_start_ms", wholeMilliseconds(order.estimatedStart) },
-            { "prompt_tokens", order.promptTokens },
-            { "unread_tokens", order.unreadTokens },
-            { "fetched_tokens", order.fetchedTokens },
-            { "requests_before", order.requestsBefore },
-            { "tokens_before", order.tokensBefore },
-            { "room_tokens", order.roomTokens },
-            { "waiting_tokens", order.waitingTokens },
-            { "preference", order.preference },
-            { "remaining_ms", wholeMilliseconds(order.remaining) },
-            { "configuration", labels.configurationVersion },
-            { "configuration_age_ms", wholeMilliseconds(labels.configurationAge) },
-            { "servers_age_ms", wholeMilliseconds(labels.serversAge) } });
+          { { "request", context.request },
+            { "peer", action.server },
+            { "attempt", static_cast<std::uint64_t>(action.attempt) },
+            { "rank", action.rank },
+            { "repeat", action.isRepeat },
+            { "resumed_after", action.lastEventId },
+            { "estimated_start_ms", wholeMilliseconds(action.estimatedStart) },
+            { "prompt_tokens", action.promptTokens },
+            { "unread_tokens", action.unreadTokens },
+            { "fetched_tokens", action.fetchedTokens },
+            { "requests_before", action.requestsBefore },
+            { "tokens_before", action.tokensBefore },
+            { "room_tokens", action.roomTokens },
+            { "waiting_tokens", action.waitingTokens },
+            { "preference", action.preference },
+            { "remaining_ms", wholeMilliseconds(action.remaining) },
+            { "configuration", context.configurationVersion },
+            { "configuration_age_ms", wholeMilliseconds(context.configurationAge) },
+            { "servers_age_ms", wholeMilliseconds(context.serversAge) } });
 }
 
-auto Accounting::attemptFailed(const RequestLabels &labels, std::string_view server, const AttemptFailure &failure, Duration since) -> void
+auto Accounting::attemptFailed(const RequestLogContext &context, std::string_view server, const AttemptFailure &failure, Duration elapsed) -> void
 {
     failures_.add(failure.failure);
     event(Level::Info,
           "attempt-failed",
-          { { "request", labels.request },
+          { { "request", context.request },
             { "peer", server },
             { "reason", failureName(failure.failure) },
             { "status", failure.status },
-            { "answer_begun", failure.relayed },
+            { "answer_begun", failure.relayStarted },
             { "last_event", failure.lastEventId },
-            { "after_ms", wholeMilliseconds(since) },
-            { "servers_age_ms", wholeMilliseconds(labels.serversAge) } });
+            { "after_ms", wholeMilliseconds(elapsed) },
+            { "servers_age_ms", wholeMilliseconds(context.serversAge) } });
 }
 
-auto Accounting::refused(const RequestLabels &labels, const passthrough::Refuse &refusal) -> void
+auto Accounting::requestRefused(const RequestLogContext &context, const passthrough::Refuse &refusal) -> void
 {
     refusals_.add(refusal.reason);
     event(Level::Info,
           "refused",
-          { { "request", labels.request },
+          { { "request", context.request },
             { "reason", entryOf(refusal.reason).name },
             { "outcome", outcomeName(refusal.outcome) },
             { "status", refusal.status },
             { "retry_after_ms", wholeMilliseconds(refusal.retryAfter.value_or(Duration::zero())) },
             { "peer", refusal.peer },
-            { "configuration", labels.configurationVersion },
+            { "configuration", context.configurationVersion },
             { "configuration_age_ms", wholeMilliseconds(refusal.informationAge) } });
 }
 
-auto Accounting::refusedInput(std::string_view step, std::string_view detail) -> void
+auto Accounting::badRequestRefused(std::string_view step, std::string_view detail) -> void
 {
     refusals_.add(Reason::BadRequest);
     event(Level::Info, "refused", { { "step", step }, { "reason", entryOf(Reason::BadRequest).name }, { "detail", detail } });
 }
 
-auto Accounting::answered(const RequestLabels &labels, std::string_view server, int status, Duration firstByte, Duration whole) -> void
+auto Accounting::responseDelivered(const RequestLogContext &context, std::string_view server, int status, Duration firstByte, Duration total) -> void
 {
-    answers_.add();
+    deliveredResponses_.add();
     firstByte_.observe(firstByte);
-    whole_.observe(whole);
+    responseTime_.observe(total);
     event(Level::Info,
           "answered",
-          { { "request", labels.request },
+          { { "request", context.request },
             { "peer", server },
             { "status", status },
             { "first_byte_ms", toMilliseconds(firstByte) },
-            { "answer_ms", toMilliseconds(whole) } });
+            { "answer_ms", toMilliseconds(total) } });
 }
 
-auto Accounting::brokenOff(const RequestLabels &labels, const passthrough::Break &end) -> void
+auto Accounting::responseAborted(const RequestLogContext &context, const passthrough::Break &action) -> void
 {
-    breaks_.add();
-    event(Level::Warning, "answer-broken-off", { { "request", labels.request }, { "reason", entryOf(end.reason).name }, { "peer", end.peer } });
+    abortedResponses_.add();
+    event(Level::Warning, "answer-broken-off", { { "request", context.request }, { "reason", entryOf(action.reason).name }, { "peer", action.peer } });
 }
 
-auto Accounting::callerGone(const RequestLabels &labels, Duration since) -> void
+auto Accounting::callerGone(const RequestLogContext &context, Duration elapsed) -> void
 {
-    gone_.add();
-    event(Level::Info, "caller-gone", { { "request", labels.request }, { "after_ms", wholeMilliseconds(since) } });
+    callersGone_.add();
+    event(Level::Info, "caller-gone", { { "request", context.request }, { "after_ms", wholeMilliseconds(elapsed) } });
 }
 
 auto Accounting::configurationAdopted(std::uint64_t version, std::size_t bytes, std::size_t routes, std::size_t workspaces) -> void
@@ -172,11 +172,11 @@
     event(Level::Info, "entries-changed", { { "entries", entries } });
 }
 
-auto Accounting::dependencyReachable(std::string_view peer, bool reachable, std::string_view call, std::string_view detail) -> void
+auto Accounting::dependencyStateChanged(std::string_view peer, bool reachable, std::string_view step, std::string_view detail) -> void
 {
     event(reachable ? Level::Info : Level::Warning,
           reachable ? "dependency-regained" : "dependency-lost",
-          { { "peer", peer }, { "step", call }, { "detail", detail } });
+          { { "peer", peer }, { "step", step }, { "detail", detail } });
 }
 
 auto Accounting::roleChanged(bool readsStore, std::size_t readers) -> void
@@ -228,7 +228,7 @@
 
 auto Accounting::leadershipChanged(bool leads, std::uint64_t token, std::string_view reason) -> void
 {
-    token_.set(leads ? static_cast<double>(token) : 0);
+    leaderToken_.set(leads ? static_cast<double>(token) : 0);
     event(Level::Info, "leadership-changed", { { "leads", leads }, { "token", token }, { "reason", reason } });
 }
 
@@ -255,11 +255,11 @@
 {
     waiting_.set(status.waiting);
     inFlight_.set(status.inFlight);
-    servers_.set(status.servers);
+    backendServers_.set(status.servers);
     limitedServers_.set(status.limitedServers);
-    entries_.set(status.entries);
-    version_.set(static_cast<double>(status.configurationVersion));
-    age_.set(std::chrono::duration<double>(status.configurationAge).count());
+    aliveEntries_.set(status.entries);
+    configurationVersion_.set(static_cast<double>(status.configurationVersion));
+    configurationAge_.set(std::chrono::duration<double>(status.configurationAge).count());
     storeCalls_.set(static_cast<double>(storeCalls));
     return metrics::formatPrometheus(registry_.snapshot());
 }
--- a/src/gateway/cachereader.h
+++ b/src/gateway/cachereader.h
@@ -1,8 +1,9 @@
 /// \file
-/// Asks engines which parts of prompts they hold, once after this entry has started.
+/// Queries the contents of the engines' prefix caches, once after the start of the entry.
 ///
-/// Failure: all entries restart together and know nothing of the engines' caches. Symptom: every session is read anew, all at
-/// once, by engines that another one could spare it. Each engine is asked by a few entries, which tell the others.
+/// After a simultaneous restart of all entries, none of them knows which engine caches which prompt prefix. Without the query,
+/// sessions would be sent to engines that have to process their whole prompts again, all at the same time. Each engine is
+/// queried by a few entries, which report the result to the others.
 
 #pragma once
 
@@ -29,7 +30,7 @@
 public:
     CacheReader(task::EventLoop &loop, CacheReaderCallbacks callbacks);
 
-    /// Asks the engines among \p servers that fall to \p self among \p entries. The first call counts.
+    /// Queries those engines among \p servers that are assigned to \p self out of \p entries. Calls after the first have no effect.
     auto readOnce(const std::vector<passthrough::Server> &servers, const std::vector<std::string> &entries, const std::string &self) -> void;
 
     [[nodiscard]] auto hasRead() const -> bool;
--- a/src/gateway/contenttag.h
+++ b/src/gateway/contenttag.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tells contents apart without sending them.
+/// Hash by which entries compare documents without transferring them.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 namespace auburnspread::gateway::detail
 {
 
-/// The same for the same bytes at every entry.
+/// Equal for equal bytes on all entries: the seed is fixed.
 inline auto contentTag(std::string_view bytes) -> std::uint64_t
 {
     constexpr XXH64_hash_t Seed = 1;
--- a/src/gateway/eventsplitter.cpp
+++ b/src/gateway/eventsplitter.cpp
@@ -11,19 +11,19 @@
 
 constexpr std::string_view IdField = "id:";
 
-/// Place after the last blank line, or 0.
+/// Offset after the last blank line; 0 if there is none.
 auto endOfLastEvent(std::string_view text) -> std::size_t
 {
-    constexpr std::string_view Plain = "\n\n";
-    constexpr std::string_view Carriage = "\n\r\n";
-    const auto plain = text.rfind(Plain);
-    const auto carriage = text.rfind(Carriage);
-    const auto afterPlain = plain == std::string_view::npos ? 0 : plain + Plain.size();
-    const auto afterCarriage = carriage == std::string_view::npos ? 0 : carriage + Carriage.size();
-    return std::max(afterPlain, afterCarriage);
+    constexpr std::string_view BlankLine = "\n\n";
+    constexpr std::string_view BlankLineWithReturn = "\n\r\n";
+    const auto blankLine = text.rfind(BlankLine);
+    const auto blankLineWithReturn = text.rfind(BlankLineWithReturn);
+    const auto afterBlankLine = blankLine == std::string_view::npos ? 0 : blankLine + BlankLine.size();
+    const auto afterBlankLineWithReturn = blankLineWithReturn == std::string_view::npos ? 0 : blankLineWithReturn + BlankLineWithReturn.size();
+    return std::max(afterBlankLine, afterBlankLineWithReturn);
 }
 
-auto valueOfField(std::string_view line) -> std::string_view
+auto idFieldValue(std::string_view line) -> std::string_view
 {
     line.remove_prefix(IdField.size());
     if (line.starts_with(' ')) {
@@ -34,8 +34,8 @@
 
 } // namespace
 
-EventSplitter::EventSplitter(std::size_t mostBytes)
-    : mostBytes_(mostBytes)
+EventSplitter::EventSplitter(std::size_t maxEventBytes)
+    : maxEventBytes_(maxEventBytes)
 {
 }
 
@@ -45,16 +45,16 @@
     const auto end = endOfLastEvent(pending_);
     auto events = pending_.substr(0, end);
     pending_.erase(0, end);
-    takeIds(events);
+    updateLastEventId(events);
     return events;
 }
 
-auto EventSplitter::takeRest() -> std::string
+auto EventSplitter::takeRemainder() -> std::string
 {
     return std::exchange(pending_, {});
 }
 
-auto EventSplitter::takeIds(std::string_view events) -> void
+auto EventSplitter::updateLastEventId(std::string_view events) -> void
 {
     while (!events.empty()) {
         const auto end = events.find('\n');
@@ -64,7 +64,7 @@
             line.remove_suffix(1);
         }
         if (line.starts_with(IdField)) {
-            lastEventId_ = valueOfField(line);
+            lastEventId_ = idFieldValue(line);
         }
     }
 }
@@ -74,20 +74,20 @@
     return lastEventId_;
 }
 
-auto EventSplitter::isTooLong() const -> bool
+auto EventSplitter::exceedsLimit() const -> bool
 {
-    return pending_.size() > mostBytes_;
+    return pending_.size() > maxEventBytes_;
 }
 
 auto countEvents(std::string_view events) -> std::uint32_t
 {
     std::uint32_t count = 0;
     auto isLineEmpty = false;
-    for (const auto letter : events) {
-        if (letter == '\r') {
+    for (const auto character : events) {
+        if (character == '\r') {
             continue;
         }
-        const auto isLineEnd = letter == '\n';
+        const auto isLineEnd = character == '\n';
         count += isLineEnd && isLineEmpty ? 1 : 0;
         isLineEmpty = isLineEnd;
     }
--- a/src/gateway/eventsplitter.h
+++ b/src/gateway/eventsplitter.h
@@ -1,9 +1,9 @@
 /// \file
-/// Splits the bytes of a stream of server-sent events after whole events. Bytes are passed on as they are.
+/// Splits a stream of server-sent events at event boundaries without changing its bytes.
 ///
-/// Failure: a backend server stops in the middle of an event and the stream goes on at another one. Symptom: the caller
-/// reads half an event joined to a whole one. Only whole events leave the splitter, and the id of the last of them tells
-/// where to go on.
+/// If a backend server fails in the middle of an event and the stream is resumed on another server, forwarding the partial
+/// event would make the caller read it joined to the next one. The splitter therefore returns complete events only, and the
+/// id of the last one tells from where to resume.
 
 #pragma once
 
@@ -17,27 +17,28 @@
 class EventSplitter
 {
 public:
-    /// An event longer than \p mostBytes is an error: a backend server must not fill our memory.
-    explicit EventSplitter(std::size_t mostBytes = std::size_t{ 256 } * 1024);
+    /// An event longer than \p maxEventBytes is an error, so that a backend server can't exhaust the entry's memory.
+    explicit EventSplitter(std::size_t maxEventBytes = std::size_t{ 256 } * 1024);
 
-    /// \return the whole events that \p bytes completed, empty if none
+    /// Appends \p bytes. \return the events that are now complete; empty if there are none
     auto feed(std::string_view bytes) -> std::string;
-    /// What is left of an event that was not completed.
-    auto takeRest() -> std::string;
+    /// Removes and returns the buffered bytes of an incomplete event.
+    auto takeRemainder() -> std::string;
 
-    /// Of the last whole event that carried one; empty: none so far.
+    /// Id of the last complete event that had one; empty if there was none.
     [[nodiscard]] auto lastEventId() const -> const std::string &;
-    [[nodiscard]] auto isTooLong() const -> bool;
+    /// Whether the incomplete event is longer than the limit.
+    [[nodiscard]] auto exceedsLimit() const -> bool;
 
 private:
-    auto takeIds(std::string_view events) -> void;
+    auto updateLastEventId(std::string_view events) -> void;
 
-    std::size_t mostBytes_;
+    std::size_t maxEventBytes_;
     std::string pending_;
     std::string lastEventId_;
 };
 
-/// Whole events in what EventSplitter passes: each ends with an empty line.
+/// Number of complete events in the output of EventSplitter: each event ends with an empty line.
 auto countEvents(std::string_view events) -> std::uint32_t;
 
 } // namespace auburnspread::gateway
--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -193,7 +193,7 @@
         .onReaderChecked = [this](const std::string &peer, bool isHealthy) { handleReaderCheck(peer, isHealthy); },
         .onReachable =
             [this](std::string_view peer, bool reachable, std::string_view call, const std::string &detail) {
-                accounting_.dependencyReachable(peer, reachable, call, detail);
+                accounting_.dependencyStateChanged(peer, reachable, call, detail);
             },
         .onPartFailed = [this](std::string_view peer, const std::string &detail) { accounting_.documentPartFailed(peer, detail); },
         .onInvalid = [this](std::string_view what, const std::string &detail) { accounting_.inputInvalid(what, detail); },
--- a/src/gateway/frontend.cpp
+++ b/src/gateway/frontend.cpp
@@ -30,10 +30,11 @@
 constexpr int FirstBodilessStatus = 100;
 constexpr int LastBodilessStatus = 199;
 
-/// An idle connection is closed this much later than the configuration says, so that a caller's own count ends first.
-constexpr Duration IdleMargin = std::chrono::seconds(3);
-/// Unsent bytes of an answer after which its reader counts as stuck; answers are some kilobytes.
-constexpr std::size_t MostBacklogBytes = std::size_t{ 1024 } * 1024;
+/// Added to the configured idle timeout, so that the caller's own timeout expires first and no request meets a connection that
+/// is being closed.
+constexpr Duration IdleTimeoutMargin = std::chrono::seconds(3);
+/// Unsent bytes of a stream above which its caller is considered stuck. Usual responses have some kilobytes.
+constexpr std::size_t MaxBacklogBytes = std::size_t{ 1024 } * 1024;
 
 struct ServerDeleter {
     auto operator()(evhttp *server) const -> void
@@ -49,12 +50,12 @@
 };
 using BufferPointer = std::unique_ptr<evbuffer, BufferDeleter>;
 
-/// One request whose answer is not complete.
+/// A request whose response is not complete.
 struct Exchange {
     RequestId id{};
-    evhttp_request *request = nullptr; ///< owned by the library
+    evhttp_request *request = nullptr; ///< owned by libevent
     evhttp_connection *connection = nullptr;
-    task::EventPointer closedWatch;
+    task::EventPointer disconnectWatch;
 };
 
 auto makeBuffer(std::string_view bytes) -> BufferPointer
@@ -70,10 +71,10 @@
         headers.begin(), headers.end(), [name](const http::Header &header) { return !header.value.empty() && http::isSameWord(header.name, name); });
 }
 
-/// Failure: a body's length is given twice, or in a form that the two ends read differently. Symptom: the rest of one
-/// request is taken for another one, with a key that its sender does not hold. Such a request is refused and its
-/// connection closed, so nothing behind it is read.
-auto hasDoubtfulLength(const http::Headers &headers) -> bool
+/// Guards against request smuggling: if the length of a body is given twice or in a form that entry and backend server
+/// interpret differently, the rest of a request can be taken for a further request, with a key that its sender does not hold.
+/// Such a request is rejected and its connection closed, so that nothing after it is read.
+auto hasAmbiguousLength(const http::Headers &headers) -> bool
 {
     const auto lengths = countHeaders(headers, "Content-Length");
     const auto encodings = countHeaders(headers, "Transfer-Encoding");
@@ -83,23 +84,23 @@
     return encodings == 1 && !http::isSameWord(http::findHeader(headers, "Transfer-Encoding"), "chunked");
 }
 
-/// Failure: a line end that the library does not take for one stands in the request's target, as a lone carriage return may.
-/// Symptom: a backend server that does take it for one reads a second request out of the first. Nothing proper holds one.
-auto hasLineEnd(std::string_view target) -> bool
+/// Guards against request smuggling: libevent accepts a lone carriage return in the request target. A backend server that
+/// interprets it as the end of the line would read a second request out of the first. No valid target contains a line break.
+auto hasLineBreak(std::string_view target) -> bool
 {
     return target.find_first_of("\r\n") != std::string_view::npos;
 }
 
-auto readPayload(evhttp_request *request, http::Headers headers) -> PayloadPointer
+auto readRequest(evhttp_request *request, http::Headers headers) -> BufferedRequestPointer
 {
-    auto payload = std::make_shared<Payload>();
-    payload->method = evhttp_request_get_command(request);
-    payload->target = evhttp_request_get_uri(request);
-    payload->headers = std::move(headers);
+    auto message = std::make_shared<BufferedRequest>();
+    message->method = evhttp_request_get_command(request);
+    message->target = evhttp_request_get_uri(request);
+    message->headers = std::move(headers);
     auto *body = evhttp_request_get_input_buffer(request);
-    payload->body.resize(evbuffer_get_length(body));
-    evbuffer_remove(body, payload->body.data(), payload->body.size());
-    return payload;
+    message->body.resize(evbuffer_get_length(body));
+    evbuffer_remove(body, message->body.data(), message->body.size());
+    return message;
 }
 
 auto addHeaders(evhttp_request *request, const http::Headers &headers) -> void
@@ -121,22 +122,22 @@
     auto operator=(const Impl &) -> Impl & = delete;
 
     auto handle(evhttp_request *request) -> void;
-    auto refuseInput(evhttp_request *request, std::string_view detail) -> void;
-    auto watchCaller(Exchange &exchange) -> void;
-    auto connectionClosed(evhttp_connection *connection) -> void;
+    auto rejectInput(evhttp_request *request, std::string_view detail) -> void;
+    auto watchForDisconnect(Exchange &exchange) -> void;
+    auto handleClosedConnection(evhttp_connection *connection) -> void;
     auto find(RequestId id) -> Exchange *;
-    auto prepare(evhttp_request *request) const -> void;
-    auto finish(RequestId id) -> void;
+    auto addConnectionHeader(evhttp_request *request) const -> void;
+    auto removeExchange(RequestId id) -> void;
 
     task::EventLoop &loop;
     FrontendCallbacks callbacks;
     std::unique_ptr<evhttp, ServerDeleter> server;
     evhttp_bound_socket *listener = nullptr;
-    bool closing = false;
+    bool closesAfterResponses = false;
     std::uint64_t lastId = 0;
     std::unordered_map<RequestId, Exchange> exchanges;
-    std::unordered_map<evhttp_connection *, RequestId> byConnection; ///< the one request under way on each
-    bool isEnding = false;
+    std::unordered_map<evhttp_connection *, RequestId> byConnection; ///< the request in flight on each connection
+    bool isDestroying = false;
 };
 
 Frontend::Impl::Impl(task::EventLoop &eventLoop, FrontendCallbacks frontendCallbacks)
@@ -153,7 +154,7 @@
 
 Frontend::Impl::~Impl()
 {
-    isEnding = true;
+    isDestroying = true;
     exchanges.clear();
 }
 
@@ -161,14 +162,14 @@
 {
     auto *connection = evhttp_request_get_connection(request);
     evhttp_connection_set_closecb(
-        connection, [](evhttp_connection *closed, void *context) { static_cast<Impl *>(context)->connectionClosed(closed); }, this);
+        connection, [](evhttp_connection *closed, void *context) { static_cast<Impl *>(context)->handleClosedConnection(closed); }, this);
     auto headers = http::readHeaders(evhttp_request_get_input_headers(request));
-    if (hasDoubtfulLength(headers)) {
-        refuseInput(request, "length of the body is given more than once or in an unknown form");
+    if (hasAmbiguousLength(headers)) {
+        rejectInput(request, "ambiguous body length: repeated or unsupported Content-Length or Transfer-Encoding");
         return;
     }
-    if (hasLineEnd(evhttp_request_get_uri(request))) {
-        refuseInput(request, "a line end stands in the target");
+    if (hasLineBreak(evhttp_request_get_uri(request))) {
+        rejectInput(request, "request target contains a line break");
         return;
     }
     const auto id = RequestId{ ++lastId };
@@ -177,20 +178,20 @@
     exchange.request = request;
     exchange.connection = connection;
     byConnection[connection] = id;
-    watchCaller(exchange);
-    callbacks.onRequest(id, readPayload(request, std::move(headers)));
+    watchForDisconnect(exchange);
+    callbacks.onRequest(id, readRequest(request, std::move(headers)));
 }
 
-auto Frontend::Impl::refuseInput(evhttp_request *request, std::string_view detail) -> void
+auto Frontend::Impl::rejectInput(evhttp_request *request, std::string_view detail) -> void
 {
-    callbacks.onRefusedInput("read", detail);
+    callbacks.onBadRequest("read", detail);
     addHeaders(request, { { "Connection", "close" } });
     evhttp_send_reply(request, BadRequestStatus, "Bad Request", nullptr);
 }
 
-//! NOTE the library does not read a connection while its request is answered, so it does not see the caller close it; a
-//! watch for the closed state alone does, without taking bytes of a further request
-auto Frontend::Impl::watchCaller(Exchange &exchange) -> void
+//! NOTE while a request is being answered, libevent does not read from its connection and so does not notice that the caller
+//! closes it. A separate event for EV_CLOSED does, without consuming bytes of a pipelined request.
+auto Frontend::Impl::watchForDisconnect(Exchange &exchange) -> void
 {
     auto *connection = exchange.connection;
     const auto onClosed
@@ -198,24 +199,24 @@
     const auto descriptor = bufferevent_getfd(evhttp_connection_get_bufferevent(connection));
     const int on = 1;
     ::setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    exchange.closedWatch.reset(event_new(loop.base(), descriptor, EV_CLOSED, onClosed, connection));
-    event_add(exchange.closedWatch.get(), nullptr);
+    exchange.disconnectWatch.reset(event_new(loop.base(), descriptor, EV_CLOSED, onClosed, connection));
+    event_add(exchange.disconnectWatch.get(), nullptr);
 }
 
-/// The library has taken a request whose answer was not complete off its connection in some cases, and leaves it to us then.
-auto Frontend::Impl::connectionClosed(evhttp_connection *connection) -> void
+/// In some cases libevent has detached a request with an incomplete response from its connection. It must then be freed here.
+auto Frontend::Impl::handleClosedConnection(evhttp_connection *connection) -> void
 {
     const auto found = byConnection.find(connection);
-    if (isEnding || found == byConnection.end()) {
+    if (isDestroying || found == byConnection.end()) {
         return;
     }
     const auto id = found->second;
     auto *request = exchanges.at(id).request;
-    finish(id);
+    removeExchange(id);
     if (evhttp_request_get_connection(request) == nullptr) {
         evhttp_request_free(request);
     }
-    callbacks.onGone(id);
+    callbacks.onCallerGone(id);
 }
 
 auto Frontend::Impl::find(RequestId id) -> Exchange *
@@ -224,14 +225,14 @@
     return found == exchanges.end() ? nullptr : &found->second;
 }
 
-auto Frontend::Impl::prepare(evhttp_request *request) const -> void
+auto Frontend::Impl::addConnectionHeader(evhttp_request *request) const -> void
 {
-    if (closing) {
+    if (closesAfterResponses) {
         addHeaders(request, { { "Connection", "close" } });
     }
 }
 
-auto Frontend::Impl::finish(RequestId id) -> void
+auto Frontend::Impl::removeExchange(RequestId id) -> void
 {
     const auto node = exchanges.extract(id);
     if (node) {
@@ -271,35 +272,35 @@
     auto *server = impl_->server.get();
     evhttp_set_max_headers_size(server, static_cast<ev_ssize_t>(limits.headerBytes));
     evhttp_set_max_body_size(server, static_cast<ev_ssize_t>(limits.bodyBytes));
-    const auto seconds = std::chrono::ceil<std::chrono::seconds>(limits.idleTimeout + IdleMargin);
+    const auto seconds = std::chrono::ceil<std::chrono::seconds>(limits.idleTimeout + IdleTimeoutMargin);
     evhttp_set_timeout(server, static_cast<int>(seconds.count()));
 }
 
-auto Frontend::closeAfterAnswers() -> void
+auto Frontend::closeAfterResponses() -> void
 {
-    impl_->closing = true;
+    impl_->closesAfterResponses = true;
 }
 
-auto Frontend::answer(RequestId request, const WholeAnswer &answer) -> void
+auto Frontend::respond(RequestId request, const BufferedResponse &response) -> void
 {
     auto *exchange = impl_->find(request);
     if (exchange == nullptr) {
         return;
     }
     auto *raw = exchange->request;
-    impl_->finish(request);
-    addHeaders(raw, answer.headers);
-    impl_->prepare(raw);
-    const auto isBodiless = answer.status >= FirstBodilessStatus && answer.status <= LastBodilessStatus;
-    const auto body = makeBuffer(isBodiless ? std::string_view() : answer.body);
-    evhttp_send_reply(raw, answer.status, nullptr, body.get());
+    impl_->removeExchange(request);
+    addHeaders(raw, response.headers);
+    impl_->addConnectionHeader(raw);
+    const auto hasNoBody = response.status >= FirstBodilessStatus && response.status <= LastBodilessStatus;
+    const auto body = makeBuffer(hasNoBody ? std::string_view() : response.body);
+    evhttp_send_reply(raw, response.status, nullptr, body.get());
 }
 
 auto Frontend::beginStream(RequestId request, int status, const http::Headers &headers) -> void
 {
     if (auto *exchange = impl_->find(request)) {
         addHeaders(exchange->request, headers);
-        impl_->prepare(exchange->request);
+        impl_->addConnectionHeader(exchange->request);
         evhttp_send_reply_start(exchange->request, status, nullptr);
     }
 }
@@ -311,9 +312,9 @@
         return;
     }
     auto *output = bufferevent_get_output(evhttp_connection_get_bufferevent(exchange->connection));
-    if (evbuffer_get_length(output) > MostBacklogBytes) {
-        breakOff(request);
-        impl_->callbacks.onGone(request);
+    if (evbuffer_get_length(output) > MaxBacklogBytes) {
+        abortResponse(request);
+        impl_->callbacks.onCallerGone(request);
         return;
     }
     evhttp_send_reply_chunk(exchange->request, makeBuffer(bytes).get());
@@ -323,16 +324,16 @@
 {
     if (auto *exchange = impl_->find(request)) {
         auto *raw = exchange->request;
-        impl_->finish(request);
+        impl_->removeExchange(request);
         evhttp_send_reply_end(raw);
     }
 }
 
-auto Frontend::breakOff(RequestId request) -> void
+auto Frontend::abortResponse(RequestId request) -> void
 {
     if (auto *exchange = impl_->find(request)) {
         auto *connection = exchange->connection;
-        impl_->finish(request);
+        impl_->removeExchange(request);
         evhttp_connection_free(connection);
     }
 }
--- a/src/gateway/frontend.h
+++ b/src/gateway/frontend.h
@@ -1,5 +1,5 @@
 /// \file
-/// The callers' side: reads whole requests, writes answers, notices callers that leave.
+/// HTTP server for callers: reads complete requests, writes responses and detects callers that disconnect.
 
 #pragma once
 
@@ -17,9 +17,9 @@
 {
 
 struct FrontendCallbacks {
-    std::function<void(RequestId request, PayloadPointer payload)> onRequest;
-    std::function<void(RequestId request)> onGone;                                      ///< before its answer was complete
-    std::function<void(std::string_view step, std::string_view detail)> onRefusedInput; ///< answered here with 400
+    std::function<void(RequestId request, BufferedRequestPointer message)> onRequest;
+    std::function<void(RequestId request)> onCallerGone;                              ///< the caller disconnected before its response was complete
+    std::function<void(std::string_view step, std::string_view detail)> onBadRequest; ///< a request was rejected with status 400; \p detail is for the log
 };
 
 class Frontend
@@ -30,26 +30,26 @@
     Frontend(const Frontend &) = delete;
     auto operator=(const Frontend &) -> Frontend & = delete;
 
-    /// Throws std::runtime_error.
+    /// \throws std::runtime_error if \p address is invalid or can't be bound.
     auto listen(const std::string &address) -> void;
-    /// Port that listen() took.
+    /// Address that listen() bound, with the port chosen by the system if none was given.
     [[nodiscard]] auto address() const -> std::string;
     auto setLimits(const passthrough::CallerLimits &limits) -> void;
 
-    /// From now on each answer is the last on its connection.
-    auto closeAfterAnswers() -> void;
+    /// Sends `Connection: close` with every further response.
+    auto closeAfterResponses() -> void;
 
-    /// \name Answers; unknown requests, whose callers have gone, are ignored
+    /// \name Responses. Calls for unknown requests are ignored, because their callers may have disconnected meanwhile.
     /// @{
-    auto answer(RequestId request, const WholeAnswer &answer) -> void;
+    auto respond(RequestId request, const BufferedResponse &response) -> void;
     auto beginStream(RequestId request, int status, const http::Headers &headers) -> void;
     auto writeStream(RequestId request, std::string_view bytes) -> void;
     auto endStream(RequestId request) -> void;
-    /// Closes the connection, so that what was sent can't be taken for complete.
-    auto breakOff(RequestId request) -> void;
+    /// Closes the connection without completing the response, so that the caller can tell that it is truncated.
+    auto abortResponse(RequestId request) -> void;
     /// @}
 
-    /// Requests without a complete answer.
+    /// Number of requests whose response is not complete.
     [[nodiscard]] auto openRequests() const -> std::size_t;
 
 private:
--- a/src/gateway/fuzztests/inputs_fuzz_tests.cpp
+++ b/src/gateway/fuzztests/inputs_fuzz_tests.cpp
@@ -157,7 +157,7 @@
         for (std::size_t at = 0; at < text.size(); at += piece) {
             passed += splitter.feed(text.substr(at, piece));
         }
-        passed += splitter.takeRest();
+        passed += splitter.takeRemainder();
         ASSERT_EQ(passed, text) << "round " << round;
     }
 }
--- a/src/gateway/fuzztests/mutation.h
+++ b/src/gateway/fuzztests/mutation.h
@@ -1,5 +1,5 @@
 /// \file
-/// Spoils valid inputs for tests of readers: the same seed gives the same sequence.
+/// Corrupts valid inputs for fuzz tests of parsers. Equal seeds give equal sequences.
 
 #pragma once
 
@@ -14,18 +14,18 @@
 class Mutator
 {
 public:
-    /// \p words: pieces that are inserted whole, because single bytes seldom form them.
-    Mutator(std::uint64_t seed, std::vector<std::string> words);
+    /// \p dictionary: tokens that are inserted as a whole, because random bytes rarely form them.
+    Mutator(std::uint64_t seed, std::vector<std::string> dictionary);
 
-    /// \p text with one to four changes: bytes flipped, cut out, doubled, words inserted, the end missing.
+    /// \return \p text with one to four changes: a byte replaced, a range removed or duplicated, a token inserted, or the end cut off
     auto mutate(std::string text) -> std::string;
 
 private:
     auto change(std::string &text) -> void;
-    auto drawBelow(std::size_t end) -> std::size_t;
+    auto randomBelow(std::size_t end) -> std::size_t;
 
     std::mt19937_64 random_;
-    std::vector<std::string> words_;
+    std::vector<std::string> dictionary_;
 };
 
 } // namespace auburnspread::gateway::tests
--- a/src/gateway/fuzztests/requests_fuzz_tests.cpp
+++ b/src/gateway/fuzztests/requests_fuzz_tests.cpp
@@ -1,5 +1,5 @@
-// Spoilt requests on real connections, in a build that ends at the first bad access. What is taken for a request must be one
-// that can be passed on as it is: no line end in its target or headers, no body whose length can be read in two ways.
+// Corrupted requests on real connections, in a build with sanitizers that aborts at the first invalid memory access. Every
+// accepted request must be safe to forward as it is: no line break in its target or headers, no ambiguous body length.
 
 #include "gateway/frontend.h"
 #include "gateway/fuzztests/mutation.h"
@@ -25,48 +25,48 @@
 constexpr std::uint64_t Seed = 20261203;
 constexpr int Rounds = 1500;
 
-auto hasLineEnd(const std::string &text) -> bool
+auto hasLineBreak(const std::string &text) -> bool
 {
     return text.find_first_of(std::string("\r\n\0", 3)) != std::string::npos;
 }
 
-auto checkPayload(const Payload &payload) -> void
+auto checkRequest(const BufferedRequest &message) -> void
 {
-    EXPECT_FALSE(hasLineEnd(payload.target)) << payload.target;
+    EXPECT_FALSE(hasLineBreak(message.target)) << message.target;
     auto lengths = 0;
-    for (const auto &header : payload.headers) {
-        EXPECT_FALSE(hasLineEnd(header.name) || hasLineEnd(header.value)) << header.name << ": " << header.value;
+    for (const auto &header : message.headers) {
+        EXPECT_FALSE(hasLineBreak(header.name) || hasLineBreak(header.value)) << header.name << ": " << header.value;
         lengths += http::isSameWord(header.name, "Content-Length") || http::isSameWord(header.name, "Transfer-Encoding") ? 1 : 0;
     }
     EXPECT_LE(lengths, 1);
 }
 
-/// A frontend that answers each request at once, and one connection after the other that sends it spoilt ones.
+/// A frontend that responds to each request at once, and a client that sends it corrupted requests, each on its own connection.
 class Target
 {
 public:
     Target()
         : frontend_(loop_,
                     { .onRequest =
-                          [this](RequestId request, const PayloadPointer &payload) {
-                              checkPayload(*payload);
-                              frontend_.answer(request, { .status = 200, .body = "done" });
+                          [this](RequestId request, const BufferedRequestPointer &message) {
+                              checkRequest(*message);
+                              frontend_.respond(request, { .status = 200, .body = "done" });
                           },
-                      .onGone = [](RequestId) {},
-                      .onRefusedInput = [](std::string_view, std::string_view) {} })
+                      .onCallerGone = [](RequestId) {},
+                      .onBadRequest = [](std::string_view, std::string_view) {} })
     {
         frontend_.setLimits({ .headerBytes = 2000, .bodyBytes = 2000 });
         frontend_.listen("127.0.0.1:0");
     }
 
-    /// Sends \p bytes on a connection of their own and reads until the frontend closes it, for \p patience at most: half a
-    /// request would keep it open for the idle time. \return what was read
-    auto send(const std::string &bytes, Duration patience = std::chrono::milliseconds(3)) -> std::string
+    /// Sends \p bytes on a new connection and reads until the frontend closes it or \p timeout has passed: an incomplete request
+    /// would keep the connection open for the idle timeout. \return the bytes read
+    auto send(const std::string &bytes, Duration timeout = std::chrono::milliseconds(3)) -> std::string
     {
         const auto address = net::toSocketAddress(net::parseEndpoint(frontend_.address()).value());
-        const standins::BuffereventPointer end(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
+        const standins::BuffereventPointer connection(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
         bufferevent_setcb(
-            end.get(),
+            connection.get(),
             nullptr,
             nullptr,
             [](bufferevent *, short what, void *context) {
@@ -75,12 +75,12 @@
                 }
             },
             &loop_);
-        bufferevent_enable(end.get(), EV_READ);
-        bufferevent_socket_connect(end.get(), address.get(), static_cast<int>(address.size));
-        bufferevent_write(end.get(), bytes.data(), bytes.size());
-        const auto bound = loop_.after(patience, [this]() { loop_.stop(); });
+        bufferevent_enable(connection.get(), EV_READ);
+        bufferevent_socket_connect(connection.get(), address.get(), static_cast<int>(address.size));
+        bufferevent_write(connection.get(), bytes.data(), bytes.size());
+        const auto timer = loop_.after(timeout, [this]() { loop_.stop(); });
         loop_.run();
-        auto *input = bufferevent_get_input(end.get());
+        auto *input = bufferevent_get_input(connection.get());
         std::string answer(evbuffer_get_length(input), '\0');
         evbuffer_remove(input, answer.data(), answer.size());
         return answer;
@@ -93,7 +93,7 @@
 
 } // namespace
 
-TEST(RequestsFuzzTests, spoiltRequestsHarmNothing)
+TEST(RequestsFuzzTests, corruptedRequestsAreHandledSafely)
 {
     const std::vector<std::string> valid = {
         "GET /fetch/1?a=b HTTP/1.1\r\nHost: quotes.example\r\nAccept: */*\r\n\r\n",
@@ -129,5 +129,5 @@
         target.send(mutator.mutate(valid.at(static_cast<std::size_t>(round) % valid.size())));
     }
     const auto answer = target.send("GET /fetch/1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", std::chrono::seconds(30));
-    EXPECT_TRUE(answer.ends_with("done")) << "it still serves: " << answer;
+    EXPECT_TRUE(answer.ends_with("done")) << "the frontend must still respond: " << answer;
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -27,27 +27,27 @@
 constexpr int OkStatus = 200;
 constexpr int FirstRedirectStatus = 300;
 
-/// Time limits are checked this often; the tightest are some hundred milliseconds.
-constexpr Duration SweepInterval = std::chrono::milliseconds(20);
+/// Interval between checks of timeouts and deadlines, the shortest of which are some hundred milliseconds.
+constexpr Duration TimeoutCheckInterval = std::chrono::milliseconds(20);
 
-/// The configuration counts as confirmed for this much less than a withdrawn key may live: a watch may be deaf for a
-/// second before it is cut, and a timer may be late.
-constexpr Duration KeyMargin = std::chrono::milliseconds(1500);
+/// The configuration counts as confirmed for the key withdrawal time less this margin: a watch of the store may miss changes
+/// for a second before its connection is closed, and a timer may fire late.
+constexpr Duration KeyFreshnessMargin = std::chrono::milliseconds(1500);
 
-/// What of the time in which a configuration comes into force may be over when an entry hears of it: a question to a reader that is
-/// silent (350 ms), the pause after it (300 ms), and the answer of the next one.
-constexpr Duration HearingTime = std::chrono::milliseconds(800);
+/// Time until an entry learns of a new configuration: a query to an unresponsive entry that reads the store (350 ms), the pause
+/// after it (300 ms), and the response of the next one. It is deducted from the time in which a configuration must be in force.
+constexpr Duration AnnouncementDelay = std::chrono::milliseconds(800);
 
-constexpr Duration LeavingCheck = std::chrono::milliseconds(50);
+constexpr Duration DrainCheckInterval = std::chrono::milliseconds(50);
 
-/// A request under way, or one that its caller left and that runs to its end.
+/// A request whose response is not complete and whose caller is still connected.
 struct OpenRequest {
-    PayloadPointer payload;
+    BufferedRequestPointer message;
     std::string callerId;
     TimePoint arrivedAt;
     std::optional<TimePoint> firstByteAt;
-    bool begun = false; ///< its caller has received a part of the answer
-    std::string server; ///< of the last attempt
+    bool responseStarted = false; ///< a part of the response was sent to the caller
+    std::string server;           ///< backend server of the last attempt
 };
 
 struct OpenAttempt {
@@ -56,15 +56,15 @@
     std::string workspace; ///< empty: none
     bool isStream = false;
     TimePoint sentAt;
-    bool isCounted = false; ///< as one that began to run
+    bool isReported = false; ///< the start of its execution was reported to the fleet
 };
 
-/// Equal for requests that a caller sends again. The key is part of it: calls without a body of different callers are not the
-/// same request, and one of them must not be withheld for what befell another.
-auto fingerprintOf(const Payload &payload, const std::string &host, const std::string &key) -> Fingerprint
+/// Equal for a request and its repetition by the same caller. The key is included so that equal requests without a body of
+/// different callers differ, and the failures of one caller's request do not cause another caller's to be withheld.
+auto fingerprintOf(const BufferedRequest &message, const std::string &host, const std::string &key) -> Fingerprint
 {
-    auto hash = static_cast<XXH64_hash_t>(payload.method);
-    for (const auto *part : { &payload.target, &host, &key, &payload.body }) {
+    auto hash = static_cast<XXH64_hash_t>(message.method);
+    for (const auto *part : { &message.target, &host, &key, &message.body }) {
         hash = XXH64(part->data(), part->size(), hash);
     }
     return Fingerprint{ hash };
@@ -76,8 +76,8 @@
         .entry = settings.name,
         .failureDomain = settings.failureDomain,
         .retries = { .ratio = settings.retryRatio, .allowance = settings.retryAllowance, .window = settings.retryWindow },
-        .keyFreshness = settings.keyWithdrawal - KeyMargin,
-        .overduePatience = std::max(settings.configurationApply - HearingTime, settings.configurationApply / 2),
+        .keyFreshness = settings.keyWithdrawal - KeyFreshnessMargin,
+        .overduePatience = std::max(settings.configurationApply - AnnouncementDelay, settings.configurationApply / 2),
     };
 }
 
@@ -89,37 +89,37 @@
     Impl(task::EventLoop &eventLoop, GatewaySettings gatewaySettings);
 
     auto start() -> void;
-    auto takeSettings(const GatewaySettings &changed) -> bool;
-    auto leave(std::function<void()> onLeft) -> void;
+    auto applySettings(const GatewaySettings &changed) -> bool;
+    auto drain(std::function<void()> onDrained) -> void;
 
     auto apply(const passthrough::Event &event) -> void;
-    auto run(const passthrough::Send &order) -> void;
-    auto run(const passthrough::Cancel &order) -> void;
-    auto run(const passthrough::Deliver &order) -> void;
-    auto run(const passthrough::Refuse &order) -> void;
-    auto run(const passthrough::Break &order) -> void;
-    auto run(const passthrough::Complete &order) -> void;
-    auto run(const passthrough::TellCrashes &order) -> void;
+    auto run(const passthrough::Send &action) -> void;
+    auto run(const passthrough::Cancel &action) -> void;
+    auto run(const passthrough::Deliver &action) -> void;
+    auto run(const passthrough::Refuse &action) -> void;
+    auto run(const passthrough::Break &action) -> void;
+    auto run(const passthrough::Complete &action) -> void;
+    auto run(const passthrough::TellCrashes &action) -> void;
     auto run(const passthrough::LimitChanged &change) -> void;
 
-    auto takeRequest(RequestId id, PayloadPointer payload) -> void;
-    auto takeGone(RequestId id) -> void;
+    auto handleRequest(RequestId id, BufferedRequestPointer message) -> void;
+    auto handleCallerGone(RequestId id) -> void;
     auto beginStream(AttemptId attempt, int status, const http::Headers &headers) -> void;
-    auto takeEvents(AttemptId attempt, std::string_view events) -> void;
-    auto takeStreamEnd(AttemptId attempt) -> void;
-    auto takeAnswer(AttemptId attempt, WholeAnswer answer) -> void;
-    auto takeFailure(AttemptId attempt, const AttemptFailure &failure) -> void;
-
-    auto takeStarted(AttemptId attempt, bool goesToCaller) -> void;
-    auto countBegun(OpenAttempt &attempt) -> void;
-    auto sweep() -> void;
+    auto relayEvents(AttemptId attempt, std::string_view events) -> void;
+    auto handleStreamEnd(AttemptId attempt) -> void;
+    auto handleResponse(AttemptId attempt, BufferedResponse response) -> void;
+    auto handleAttemptFailure(AttemptId attempt, const AttemptFailure &failure) -> void;
+
+    auto handleAttemptStarted(AttemptId attempt, bool goesToCaller) -> void;
+    auto reportExecutionStart(OpenAttempt &attempt) -> void;
+    auto checkTimeouts() -> void;
     auto checkReadiness() -> void;
-    [[nodiscard]] auto whyNotReady() const -> std::string_view;
-    auto checkLeaving() -> void;
+    [[nodiscard]] auto notReadyReason() const -> std::string_view;
+    auto checkDrain() -> void;
     auto addressesForCallers() const -> std::vector<std::string>;
     auto pagesCallbacks() -> PagesCallbacks;
-    auto labelsOf(const OpenRequest &request) const -> RequestLabels;
-    auto endLine(RequestId id, int status) -> void;
+    auto logContextOf(const OpenRequest &request) const -> RequestLogContext;
+    auto completeRequest(RequestId id, int status) -> void;
 
     task::EventLoop &loop;
     GatewaySettings settings;
@@ -132,12 +132,12 @@
 
     std::unordered_map<RequestId, OpenRequest> requests;
     std::unordered_map<AttemptId, OpenAttempt> attempts;
-    std::unordered_map<AttemptId, WholeAnswer> held; ///< whole answers that the core judges
+    std::unordered_map<AttemptId, BufferedResponse> pendingResponses; ///< complete responses until the routing core has decided on them
     bool isReady = false;
-    std::optional<Leaving> leaving; ///< set once it has begun to leave
-    std::function<void()> onLeft;
-    task::Watch sweeper;
-    task::Watch leavingCheck;
+    std::optional<DrainState> drainState; ///< set once the shutdown has started
+    std::function<void()> onDrained;
+    task::Watch timeoutTimer;
+    task::Watch drainTimer;
 };
 
 Gateway::Impl::Impl(task::EventLoop &eventLoop, GatewaySettings gatewaySettings)
@@ -146,20 +146,20 @@
     , router(passthrough::makeRouter(routerOptionsOf(settings)))
     , frontend(loop,
                {
-                   .onRequest = [this](RequestId id, PayloadPointer payload) { takeRequest(id, std::move(payload)); },
-                   .onGone = [this](RequestId id) { takeGone(id); },
-                   .onRefusedInput = [this](std::string_view step, std::string_view detail) { accounting.refusedInput(step, detail); },
+                   .onRequest = [this](RequestId id, BufferedRequestPointer message) { handleRequest(id, std::move(message)); },
+                   .onCallerGone = [this](RequestId id) { handleCallerGone(id); },
+                   .onBadRequest = [this](std::string_view step, std::string_view detail) { accounting.badRequestRefused(step, detail); },
                })
     , upstream(loop,
                {
-                   .onStarted = [this](AttemptId attempt, bool goesToCaller) { takeStarted(attempt, goesToCaller); },
-                   .onLimit = [this](AttemptId attempt,
-                                     std::optional<double> perSecond) { apply(passthrough::LimitStated{ .attempt = attempt, .perSecond = perSecond }); },
-                   .onStreamBegun = [this](AttemptId attempt, int status, const http::Headers &headers) { beginStream(attempt, status, headers); },
-                   .onEvents = [this](AttemptId attempt, std::string_view events) { takeEvents(attempt, events); },
-                   .onStreamEnded = [this](AttemptId attempt) { takeStreamEnd(attempt); },
-                   .onAnswer = [this](AttemptId attempt, WholeAnswer answer) { takeAnswer(attempt, std::move(answer)); },
-                   .onFailed = [this](AttemptId attempt, const AttemptFailure &failure) { takeFailure(attempt, failure); },
+                   .onStarted = [this](AttemptId attempt, bool goesToCaller) { handleAttemptStarted(attempt, goesToCaller); },
+                   .onRateLimit = [this](AttemptId attempt,
+                                         std::optional<double> perSecond) { apply(passthrough::LimitStated{ .attempt = attempt, .perSecond = perSecond }); },
+                   .onStreamStarted = [this](AttemptId attempt, int status, const http::Headers &headers) { beginStream(attempt, status, headers); },
+                   .onEvents = [this](AttemptId attempt, std::string_view events) { relayEvents(attempt, events); },
+                   .onStreamEnded = [this](AttemptId attempt) { handleStreamEnd(attempt); },
+                   .onResponse = [this](AttemptId attempt, BufferedResponse response) { handleResponse(attempt, std::move(response)); },
+                   .onFailed = [this](AttemptId attempt, const AttemptFailure &failure) { handleAttemptFailure(attempt, failure); },
                })
     , fleet(loop,
             settings,
@@ -168,7 +168,7 @@
             {
                 .onEvent = [this](const passthrough::Event &event) { apply(event); },
                 .onLimits = [this](const passthrough::CallerLimits &limits) { frontend.setLimits(limits); },
-                .onServerGone = [this](const std::string &server) { upstream.closeIdle(server); },
+                .onServerGone = [this](const std::string &server) { upstream.closeIdleConnections(server); },
                 .onReadinessChanged = [this]() { checkReadiness(); },
             })
     , pages(loop, { .readiness = settings.readinessAddress, .addresses = settings.addressesAddress, .metrics = settings.metricsAddress }, pagesCallbacks())
@@ -186,7 +186,7 @@
                 return isReady;
             },
         .addresses = [this]() { return addressesForCallers(); },
-        .keepAddresses = [this]() { return std::min(AddressKeep, settings.keepAddresses); },
+        .addressCacheTime = [this]() { return std::min(AddressCacheTime, settings.keepAddresses); },
         .metrics = [this]() { return accounting.metricsPage(passthrough::statusOf(*router, now()), fleet.storeCalls()); },
     };
 }
@@ -194,7 +194,7 @@
 auto Gateway::Impl::start() -> void
 {
     fleet.start();
-    sweeper = loop.every(SweepInterval, [this]() { sweep(); });
+    timeoutTimer = loop.every(TimeoutCheckInterval, [this]() { checkTimeouts(); });
 }
 
 auto Gateway::Impl::apply(const passthrough::Event &event) -> void
@@ -204,7 +204,7 @@
     }
 }
 
-auto Gateway::Impl::labelsOf(const OpenRequest &request) const -> RequestLabels
+auto Gateway::Impl::logContextOf(const OpenRequest &request) const -> RequestLogContext
 {
     const auto at = now();
     const auto status = passthrough::statusOf(*router, at);
@@ -216,33 +216,33 @@
     };
 }
 
-auto Gateway::Impl::run(const passthrough::Send &order) -> void
+auto Gateway::Impl::run(const passthrough::Send &action) -> void
 {
-    const auto found = requests.find(order.request);
+    const auto found = requests.find(action.request);
     if (found == requests.end()) {
         return;
     }
     auto &request = found->second;
-    request.server = order.server;
-    attempts[order.attempt] = {
-        .request = order.request,
-        .server = order.server,
-        .workspace = order.workspace,
-        .isStream = order.isStream,
+    request.server = action.server;
+    attempts[action.attempt] = {
+        .request = action.request,
+        .server = action.server,
+        .workspace = action.workspace,
+        .isStream = action.isStream,
         .sentAt = now(),
     };
-    accounting.sent(labelsOf(request), order);
-    upstream.send(order, request.payload, request.callerId);
+    accounting.attemptSent(logContextOf(request), action);
+    upstream.send(action, request.message, request.callerId);
     fleet.recordDispatch();
 }
 
-auto Gateway::Impl::run(const passthrough::Cancel &order) -> void
+auto Gateway::Impl::run(const passthrough::Cancel &action) -> void
 {
-    upstream.cancel(order.attempt);
-    attempts.erase(order.attempt);
+    upstream.cancel(action.attempt);
+    attempts.erase(action.attempt);
 }
 
-auto Gateway::Impl::endLine(RequestId id, int status) -> void
+auto Gateway::Impl::completeRequest(RequestId id, int status) -> void
 {
     const auto node = requests.extract(id);
     if (!node) {
@@ -250,46 +250,46 @@
     }
     const auto &request = node.mapped();
     const auto at = now();
-    accounting.answered(labelsOf(request), request.server, status, request.firstByteAt.value_or(at) - request.arrivedAt, at - request.arrivedAt);
+    accounting.responseDelivered(logContextOf(request), request.server, status, request.firstByteAt.value_or(at) - request.arrivedAt, at - request.arrivedAt);
 }
 
-auto Gateway::Impl::run(const passthrough::Deliver &order) -> void
+auto Gateway::Impl::run(const passthrough::Deliver &action) -> void
 {
-    const auto answer = held.extract(order.attempt);
-    if (answer) {
-        frontend.answer(order.request, answer.mapped());
+    const auto response = pendingResponses.extract(action.attempt);
+    if (response) {
+        frontend.respond(action.request, response.mapped());
     }
-    endLine(order.request, order.status);
+    completeRequest(action.request, action.status);
 }
 
-auto Gateway::Impl::run(const passthrough::Refuse &order) -> void
+auto Gateway::Impl::run(const passthrough::Refuse &action) -> void
 {
-    const auto node = requests.extract(order.request);
+    const auto node = requests.extract(action.request);
     if (node) {
-        accounting.refused(labelsOf(node.mapped()), order);
+        accounting.requestRefused(logContextOf(node.mapped()), action);
     }
-    frontend.answer(order.request, makeRefusal(order));
+    frontend.respond(action.request, makeRefusalResponse(action));
 }
 
-auto Gateway::Impl::run(const passthrough::Break &order) -> void
+auto Gateway::Impl::run(const passthrough::Break &action) -> void
 {
-    const auto node = requests.extract(order.request);
+    const auto node = requests.extract(action.request);
     if (node) {
-        accounting.brokenOff(labelsOf(node.mapped()), order);
+        accounting.responseAborted(logContextOf(node.mapped()), action);
     }
-    frontend.breakOff(order.request);
+    frontend.abortResponse(action.request);
 }
 
-auto Gateway::Impl::run(const passthrough::Complete &order) -> void
+auto Gateway::Impl::run(const passthrough::Complete &action) -> void
 {
-    frontend.endStream(order.request);
-    endLine(order.request, OkStatus);
+    frontend.endStream(action.request);
+    completeRequest(action.request, OkStatus);
 }
 
-auto Gateway::Impl::run(const passthrough::TellCrashes &order) -> void
+auto Gateway::Impl::run(const passthrough::TellCrashes &action) -> void
 {
-    accounting.crashCounted(order);
-    fleet.sendCrashReport({ .fingerprint = order.fingerprint, .crashes = order.crashes });
+    accounting.crashCounted(action);
+    fleet.sendCrashReport({ .fingerprint = action.fingerprint, .crashes = action.crashes });
 }
 
 auto Gateway::Impl::run(const passthrough::LimitChanged &change) -> void
@@ -297,30 +297,30 @@
     accounting.serverLimitChanged(change);
 }
 
-auto Gateway::Impl::takeRequest(RequestId id, PayloadPointer payload) -> void
+auto Gateway::Impl::handleRequest(RequestId id, BufferedRequestPointer message) -> void
 {
-    passthrough::RequestArrived arrived{ .request = id, .path = payload->target };
-    adapter::decodeCallerHeaders(payload->headers, arrived);
-    arrived.fingerprint = fingerprintOf(*payload, arrived.host, arrived.key);
-    requests[id] = { .payload = std::move(payload), .callerId = arrived.callerId, .arrivedAt = now() };
+    passthrough::RequestArrived arrived{ .request = id, .path = message->target };
+    adapter::decodeCallerHeaders(message->headers, arrived);
+    arrived.fingerprint = fingerprintOf(*message, arrived.host, arrived.key);
+    requests[id] = { .message = std::move(message), .callerId = arrived.callerId, .arrivedAt = now() };
     apply(arrived);
 }
 
-auto Gateway::Impl::takeGone(RequestId id) -> void
+auto Gateway::Impl::handleCallerGone(RequestId id) -> void
 {
     const auto found = requests.find(id);
     if (found != requests.end()) {
-        accounting.callerGone(labelsOf(found->second), now() - found->second.arrivedAt);
+        accounting.callerGone(logContextOf(found->second), now() - found->second.arrivedAt);
         requests.erase(found);
     }
     apply(passthrough::CallerGone{ .request = id });
 }
 
-auto Gateway::Impl::takeStarted(AttemptId attempt, bool goesToCaller) -> void
+auto Gateway::Impl::handleAttemptStarted(AttemptId attempt, bool goesToCaller) -> void
 {
     const auto found = attempts.find(attempt);
     if (found != attempts.end()) {
-        countBegun(found->second);
+        reportExecutionStart(found->second);
     }
     const auto request = found == attempts.end() ? requests.end() : requests.find(found->second.request);
     if (request != requests.end() && !request->second.firstByteAt) {
@@ -329,10 +329,10 @@
     apply(passthrough::AttemptStarted{ .attempt = attempt, .goesToCaller = goesToCaller });
 }
 
-/// A stream begins to run with its first event, a call about when it is sent.
-auto Gateway::Impl::countBegun(OpenAttempt &attempt) -> void
+/// Reports the start of an execution to the fleet: a stream starts with its first event, any other call about when it is sent.
+auto Gateway::Impl::reportExecutionStart(OpenAttempt &attempt) -> void
 {
-    if (!std::exchange(attempt.isCounted, true)) {
+    if (!std::exchange(attempt.isReported, true)) {
         fleet.recordStart(attempt.workspace, attempt.isStream ? now() : attempt.sentAt);
     }
 }
@@ -341,13 +341,13 @@
 {
     const auto id = attempts.at(attempt).request;
     const auto found = requests.find(id);
-    // a stream that goes on at another server keeps the head of its first one
-    if (found != requests.end() && !std::exchange(found->second.begun, true)) {
+    // a stream that is resumed on another server keeps the response head of the first server
+    if (found != requests.end() && !std::exchange(found->second.responseStarted, true)) {
         frontend.beginStream(id, status, headers);
     }
 }
 
-auto Gateway::Impl::takeEvents(AttemptId attempt, std::string_view events) -> void
+auto Gateway::Impl::relayEvents(AttemptId attempt, std::string_view events) -> void
 {
     const auto found = attempts.find(attempt);
     if (found != attempts.end()) {
@@ -356,76 +356,76 @@
     }
 }
 
-auto Gateway::Impl::takeStreamEnd(AttemptId attempt) -> void
+auto Gateway::Impl::handleStreamEnd(AttemptId attempt) -> void
 {
     attempts.erase(attempt);
     apply(passthrough::AttemptFinished{ .attempt = attempt });
 }
 
-auto Gateway::Impl::takeAnswer(AttemptId attempt, WholeAnswer answer) -> void
+auto Gateway::Impl::handleResponse(AttemptId attempt, BufferedResponse response) -> void
 {
     const auto node = attempts.extract(attempt);
     if (node) {
-        countBegun(node.mapped());
+        reportExecutionStart(node.mapped());
     }
     const auto found = node ? requests.find(node.mapped().request) : requests.end();
-    const auto status = answer.status;
-    if (found != requests.end() && found->second.begun) {
-        // a resumed stream had no event left, or its server refused to go on
+    const auto status = response.status;
+    if (found != requests.end() && found->second.responseStarted) {
+        // a resumed stream had no events left, or the server refused to resume it
         if (status >= OkStatus && status < FirstRedirectStatus) {
-            frontend.writeStream(found->first, answer.body);
+            frontend.writeStream(found->first, response.body);
             apply(passthrough::AttemptFinished{ .attempt = attempt });
         } else {
             apply(passthrough::AttemptFailed{ .attempt = attempt, .failure = Failure::ServerError, .answerBegun = true });
         }
         return;
     }
-    held[attempt] = std::move(answer);
+    pendingResponses[attempt] = std::move(response);
     apply(passthrough::AttemptAnswered{ .attempt = attempt, .status = status });
-    held.erase(attempt);
+    pendingResponses.erase(attempt);
 }
 
-auto Gateway::Impl::takeFailure(AttemptId attempt, const AttemptFailure &failure) -> void
+auto Gateway::Impl::handleAttemptFailure(AttemptId attempt, const AttemptFailure &failure) -> void
 {
     const auto node = attempts.extract(attempt);
-    auto begun = false;
+    auto responseStarted = false;
     if (node) {
-        // a call whose answer was lost has most likely run
+        // a call whose response was lost has most likely run
         if (!node.mapped().isStream && !provesNotStarted(failure.failure)) {
-            countBegun(node.mapped());
+            reportExecutionStart(node.mapped());
         }
         const auto found = requests.find(node.mapped().request);
         if (found != requests.end()) {
-            begun = found->second.begun;
-            accounting.attemptFailed(labelsOf(found->second), node.mapped().server, failure, now() - node.mapped().sentAt);
+            responseStarted = found->second.responseStarted;
+            accounting.attemptFailed(logContextOf(found->second), node.mapped().server, failure, now() - node.mapped().sentAt);
         }
     }
-    apply(passthrough::AttemptFailed{ .attempt = attempt, .failure = failure.failure, .answerBegun = begun, .lastEventId = failure.lastEventId });
+    apply(passthrough::AttemptFailed{ .attempt = attempt, .failure = failure.failure, .answerBegun = responseStarted, .lastEventId = failure.lastEventId });
 }
 
-auto Gateway::Impl::sweep() -> void
+auto Gateway::Impl::checkTimeouts() -> void
 {
     const auto at = now();
-    upstream.sweep(at);
+    upstream.failOverdueAttempts(at);
     apply(passthrough::Tick{});
 }
 
 auto Gateway::Impl::checkReadiness() -> void
 {
     const auto isFresh = passthrough::isFresh(*router, now());
-    const auto ready = isFresh && fleet.hasServerList() && !leaving;
+    const auto ready = isFresh && fleet.hasServerList() && !drainState;
     if (ready) {
         fleet.announce();
     }
     if (std::exchange(isReady, ready) == ready) {
         return;
     }
-    accounting.readinessChanged(ready, ready ? "" : whyNotReady());
+    accounting.readinessChanged(ready, ready ? "" : notReadyReason());
 }
 
-auto Gateway::Impl::whyNotReady() const -> std::string_view
+auto Gateway::Impl::notReadyReason() const -> std::string_view
 {
-    if (leaving) {
+    if (drainState) {
         return "leaving";
     }
     if (passthrough::isOverdue(*router, now())) {
@@ -434,50 +434,50 @@
     return passthrough::isFresh(*router, now()) ? "no backend servers known" : "configuration not confirmed";
 }
 
-/// An entry that can't confirm its configuration sends callers to the others, if it knows any.
+/// An entry that can't confirm its configuration names only other entries to callers, if it knows any.
 auto Gateway::Impl::addressesForCallers() const -> std::vector<std::string>
 {
     auto addresses = fleet.otherAddresses();
     const auto isUsable = passthrough::isFresh(*router, now()) && fleet.hasServerList();
-    if (!leaving && (isUsable || addresses.empty())) {
+    if (!drainState && (isUsable || addresses.empty())) {
         addresses.push_back(settings.callerAddress);
     }
     return addresses;
 }
 
-auto Gateway::Impl::takeSettings(const GatewaySettings &changed) -> bool
+auto Gateway::Impl::applySettings(const GatewaySettings &changed) -> bool
 {
-    settings = withBoundsOf(std::move(settings), changed);
+    settings = withReloadableSettings(std::move(settings), changed);
     passthrough::changeBounds(*router, routerOptionsOf(settings));
     checkReadiness();
     return settings == changed;
 }
 
-auto Gateway::Impl::leave(std::function<void()> whenLeft) -> void
+auto Gateway::Impl::drain(std::function<void()> whenDrained) -> void
 {
-    if (leaving) {
+    if (drainState) {
         return;
     }
-    onLeft = std::move(whenLeft);
-    leaving = beginLeaving(now());
+    onDrained = std::move(whenDrained);
+    drainState = beginDrain(now());
     checkReadiness();
     fleet.leave();
-    frontend.closeAfterAnswers();
-    leavingCheck = loop.every(LeavingCheck, [this]() { checkLeaving(); });
+    frontend.closeAfterResponses();
+    drainTimer = loop.every(DrainCheckInterval, [this]() { checkDrain(); });
 }
 
-auto Gateway::Impl::checkLeaving() -> void
+auto Gateway::Impl::checkDrain() -> void
 {
-    const auto isBusy = frontend.openRequests() > 0 || upstream.attempts() > 0;
-    switch (stepLeaving(*leaving, isBusy, settings.leavingTime, now())) {
-    case LeavingStep::ServeOn:
+    const auto isBusy = frontend.openRequests() > 0 || upstream.openAttempts() > 0;
+    switch (advanceDrain(*drainState, isBusy, settings.leavingTime, now())) {
+    case DrainStep::KeepServing:
         break;
-    case LeavingStep::RefuseNew:
+    case DrainStep::RefuseNewRequests:
         apply(passthrough::ClosingStarted{});
         break;
-    case LeavingStep::End:
-        leavingCheck = {};
-        onLeft();
+    case DrainStep::Exit:
+        drainTimer = {};
+        onDrained();
         break;
     }
 }
@@ -494,14 +494,14 @@
     impl_->start();
 }
 
-auto Gateway::takeSettings(const GatewaySettings &changed) -> bool
+auto Gateway::applySettings(const GatewaySettings &changed) -> bool
 {
-    return impl_->takeSettings(changed);
+    return impl_->applySettings(changed);
 }
 
-auto Gateway::leave(std::function<void()> onLeft) -> void
+auto Gateway::drain(std::function<void()> onDrained) -> void
 {
-    impl_->leave(std::move(onLeft));
+    impl_->drain(std::move(onDrained));
 }
 
 auto Gateway::callerAddress() const -> std::string
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,6 +1,7 @@
 /// \file
-/// The pass-through entry: one process on each VM that callers reach. It joins the callers' side, the backend servers'
-/// side, the directory and the decision core on one event loop, because the VM has a part of one core.
+/// The pass-through entry: the HTTP proxy process that runs on each VM. It connects the server side (callers), the client
+/// side (backend servers), the shared directory and the routing core on a single event loop, because the VM has only a
+/// fraction of one processor core.
 
 #pragma once
 
@@ -16,18 +17,20 @@
 class Gateway
 {
 public:
-    /// Throws if an address can't be bound.
+    /// \throws std::runtime_error if an address can't be bound.
     Gateway(task::EventLoop &loop, GatewaySettings settings);
     ~Gateway();
     Gateway(const Gateway &) = delete;
     auto operator=(const Gateway &) -> Gateway & = delete;
 
     auto start() -> void;
-    /// Takes over what of \p changed can take effect at once. \return whether that is all that differs
-    auto takeSettings(const GatewaySettings &changed) -> bool;
-    /// Takes part in nothing new, ends what is under way and calls \p onLeft.
-    auto leave(std::function<void()> onLeft) -> void;
+    /// Applies the settings of \p changed that can be reloaded at run time. \return false if any other setting differs, which
+    /// then needs a restart
+    auto applySettings(const GatewaySettings &changed) -> bool;
+    /// Starts a graceful shutdown: leaves the fleet, completes the requests in flight and then calls \p onDrained.
+    auto drain(std::function<void()> onDrained) -> void;
 
+    /// Bound address of the listener for callers.
     [[nodiscard]] auto callerAddress() const -> std::string;
 
 private:
--- a/src/gateway/leaving.cpp
+++ b/src/gateway/leaving.cpp
@@ -6,34 +6,34 @@
 namespace
 {
 
-constexpr int LongestKeepFactor = 3;
-/// Requests that arrive later than this before the end may not end in time, and are refused.
-constexpr Duration ClosingTime = std::chrono::milliseconds(2500);
-/// The process ends by itself before it is killed.
-constexpr Duration EndMargin = std::chrono::milliseconds(300);
-/// Without a request for this long after callers have forgotten it, nobody uses the entry.
-constexpr Duration QuietTime = std::chrono::milliseconds(300);
+constexpr int MaxCacheTimeFactor = 3;
+/// Requests that arrive in this period before the exit may not complete in time and are refused.
+constexpr Duration RefusalPeriod = std::chrono::milliseconds(2500);
+/// The process exits this much before the end of the drain time, after which it is killed.
+constexpr Duration ExitMargin = std::chrono::milliseconds(300);
+/// Once the callers' cached addresses have expired, an entry that had no request for this long is no longer in use.
+constexpr Duration IdleTime = std::chrono::milliseconds(300);
 
 } // namespace
 
-auto beginLeaving(TimePoint now) -> Leaving
+auto beginDrain(TimePoint now) -> DrainState
 {
-    return { .since = now, .lastBusyAt = now };
+    return { .startedAt = now, .lastBusyAt = now };
 }
 
-auto stepLeaving(Leaving &leaving, bool isBusy, Duration leavingTime, TimePoint now) -> LeavingStep
+auto advanceDrain(DrainState &drain, bool isBusy, Duration drainTime, TimePoint now) -> DrainStep
 {
-    const auto gone = now - leaving.since;
-    leaving.lastBusyAt = isBusy ? now : leaving.lastBusyAt;
-    const auto isUnused = gone > AddressKeep * LongestKeepFactor && now - leaving.lastBusyAt > QuietTime;
-    if (isUnused || gone >= leavingTime - EndMargin) {
-        return LeavingStep::End;
+    const auto elapsed = now - drain.startedAt;
+    drain.lastBusyAt = isBusy ? now : drain.lastBusyAt;
+    const auto isUnused = elapsed > AddressCacheTime * MaxCacheTimeFactor && now - drain.lastBusyAt > IdleTime;
+    if (isUnused || elapsed >= drainTime - ExitMargin) {
+        return DrainStep::Exit;
     }
-    if (!leaving.refuses && gone >= leavingTime - ClosingTime) {
-        leaving.refuses = true;
-        return LeavingStep::RefuseNew;
+    if (!drain.refusesNewRequests && elapsed >= drainTime - RefusalPeriod) {
+        drain.refusesNewRequests = true;
+        return DrainStep::RefuseNewRequests;
     }
-    return LeavingStep::ServeOn;
+    return DrainStep::KeepServing;
 }
 
 } // namespace auburnspread::gateway
--- a/src/gateway/leaving.h
+++ b/src/gateway/leaving.h
@@ -1,9 +1,10 @@
 /// \file
-/// How an entry leaves: when it refuses what is new, and when it ends. Pure.
+/// Connection draining of an entry that shuts down: when it starts to refuse new requests and when it exits. Pure functions.
 ///
-/// Failure: an entry ends while callers still know its address. Symptom: connections refused, and requests cut that came on
-/// kept ones. Callers keep their list of entries for some seconds, and their connections until an answer closes them. So the
-/// entry serves on for as long as any may come, and refuses what could not end before the process does.
+/// Callers cache the list of entries for some seconds and keep their connections until a response closes them. If the entry
+/// exited while callers still used its address, their new connections would be refused and requests on kept-alive connections
+/// would be cut off. The entry therefore serves requests for as long as they may arrive, and refuses those that could not
+/// complete before the process exits.
 
 #pragma once
 
@@ -12,24 +13,24 @@
 namespace auburnspread::gateway
 {
 
-/// Callers ask again for addresses after this time; some keep an answer three times as long.
-constexpr Duration AddressKeep = std::chrono::seconds(1);
+/// Time for which callers may cache the addresses of the entries. Some callers keep them three times as long.
+constexpr Duration AddressCacheTime = std::chrono::seconds(1);
 
-struct Leaving {
-    TimePoint since;
+struct DrainState {
+    TimePoint startedAt;
     TimePoint lastBusyAt;
-    bool refuses = false; ///< what is new
+    bool refusesNewRequests = false;
 };
 
-enum class LeavingStep {
-    ServeOn,
-    RefuseNew, ///< from now on; told once
-    End,
+enum class DrainStep {
+    KeepServing,
+    RefuseNewRequests, ///< from now on; returned once
+    Exit,
 };
 
-auto beginLeaving(TimePoint now) -> Leaving;
+auto beginDrain(TimePoint now) -> DrainState;
 
-/// \p isBusy: requests or attempts are under way; \p leavingTime: from the beginning to the end at the latest.
-auto stepLeaving(Leaving &leaving, bool isBusy, Duration leavingTime, TimePoint now) -> LeavingStep;
+/// Called periodically. \p isBusy: requests or attempts are in flight; \p drainTime: maximum time from beginDrain() to the exit.
+auto advanceDrain(DrainState &drain, bool isBusy, Duration drainTime, TimePoint now) -> DrainStep;
 
 } // namespace auburnspread::gateway
--- a/src/gateway/pages.cpp
+++ b/src/gateway/pages.cpp
@@ -47,7 +47,7 @@
         replier.reply(UnavailableStatus, TextType, "no entry is known to be ready\n");
         return;
     }
-    replier.reply(OkStatus, JsonType, adapter::encodeAddresses(addresses, callbacks_.keepAddresses()));
+    replier.reply(OkStatus, JsonType, adapter::encodeAddresses(addresses, callbacks_.addressCacheTime()));
 }
 
 } // namespace auburnspread::gateway
--- a/src/gateway/pages.h
+++ b/src/gateway/pages.h
@@ -1,5 +1,5 @@
 /// \file
-/// What an entry answers besides callers' requests: whether it is ready, which entries callers should use, and its metrics.
+/// HTTP endpoints of the entry itself: readiness probe, addresses of the entries that callers should use, and metrics.
 
 #pragma once
 
@@ -15,9 +15,9 @@
 
 struct PagesCallbacks {
     std::function<bool()> isReady;
-    std::function<std::vector<std::string>()> addresses; ///< of the entries for callers
-    std::function<Duration()> keepAddresses;             ///< for how long callers may keep that answer
-    std::function<std::string()> metrics;                ///< as Prometheus text
+    std::function<std::vector<std::string>()> addresses; ///< addresses of the entries that callers should use
+    std::function<Duration()> addressCacheTime;          ///< time for which callers may cache the addresses
+    std::function<std::string()> metrics;                ///< metrics in Prometheus text format
 };
 
 struct PagesAddresses {
@@ -29,7 +29,7 @@
 class Pages
 {
 public:
-    /// Throws if an address can't be bound.
+    /// \throws std::runtime_error if an address can't be bound.
     Pages(task::EventLoop &loop, const PagesAddresses &listen, PagesCallbacks callbacks);
 
 private:
--- a/src/gateway/payload.h
+++ b/src/gateway/payload.h
@@ -1,5 +1,5 @@
 /// \file
-/// A caller's request as received, kept for its attempts.
+/// Buffered requests and responses.
 
 #pragma once
 
@@ -13,16 +13,17 @@
 namespace auburnspread::gateway
 {
 
-struct Payload {
+/// A caller's request as received. It is kept until the request ends, because each attempt sends it again.
+struct BufferedRequest {
     evhttp_cmd_type method = EVHTTP_REQ_GET;
     std::string target; ///< path and query as received
     http::Headers headers;
     std::string body;
 };
-using PayloadPointer = std::shared_ptr<const Payload>;
+using BufferedRequestPointer = std::shared_ptr<const BufferedRequest>;
 
-/// An answer that is passed on as a whole.
-struct WholeAnswer {
+/// A response that is forwarded once it is complete, in contrast to a relayed stream.
+struct BufferedResponse {
     int status = 0;
     http::Headers headers;
     std::string body;
--- a/src/gateway/querynumber.h
+++ b/src/gateway/querynumber.h
@@ -1,5 +1,5 @@
 /// \file
-/// Numbers in the query of a question from another entry.
+/// Numeric query parameters of requests from other entries.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 namespace auburnspread::gateway::detail
 {
 
-/// Zero, which names nothing, where the number is missing or can't be read.
+/// \return 0, which means none, if the parameter is missing or not a number
 inline auto readQueryNumber(const std::map<std::string, std::string> &query, const std::string &name) -> std::uint64_t
 {
     const auto found = query.find(name);
--- a/src/gateway/refusalanswer.cpp
+++ b/src/gateway/refusalanswer.cpp
@@ -26,16 +26,16 @@
 
 } // namespace
 
-auto makeRefusal(const passthrough::Refuse &refusal) -> WholeAnswer
+auto makeRefusalResponse(const passthrough::Refuse &refusal) -> BufferedResponse
 {
-    WholeAnswer answer{ .status = refusal.status, .headers = { { "Content-Type", TextType } } };
-    answer.headers.push_back({ "Auburnspread-Reason", std::string(entryOf(refusal.reason).name) });
-    answer.headers.push_back({ "Auburnspread-Outcome", std::string(outcomeName(refusal.outcome)) });
+    BufferedResponse response{ .status = refusal.status, .headers = { { "Content-Type", TextType } } };
+    response.headers.push_back({ "Auburnspread-Reason", std::string(entryOf(refusal.reason).name) });
+    response.headers.push_back({ "Auburnspread-Outcome", std::string(outcomeName(refusal.outcome)) });
     if (refusal.retryAfter) {
-        answer.headers.push_back({ "Retry-After", formatSeconds(*refusal.retryAfter) });
+        response.headers.push_back({ "Retry-After", formatSeconds(*refusal.retryAfter) });
     }
-    answer.body = std::string(entryOf(refusal.reason).name) + "\n";
-    return answer;
+    response.body = std::string(entryOf(refusal.reason).name) + "\n";
+    return response;
 }
 
 } // namespace auburnspread::gateway
--- a/src/gateway/refusalanswer.h
+++ b/src/gateway/refusalanswer.h
@@ -1,5 +1,5 @@
 /// \file
-/// The answers that the entry itself gives to requests that get none from a backend server.
+/// Error responses that the entry sends itself, without a response of a backend server.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 namespace auburnspread::gateway
 {
 
-/// Status, reason, what the caller may conclude, and when to come back.
-auto makeRefusal(const passthrough::Refuse &refusal) -> WholeAnswer;
+/// Response with the status, the reason, the outcome (whether the request may have run) and, if set, the `Retry-After` time.
+auto makeRefusalResponse(const passthrough::Refuse &refusal) -> BufferedResponse;
 
 } // namespace auburnspread::gateway
--- a/src/gateway/settings/gatewaysettings.cpp
+++ b/src/gateway/settings/gatewaysettings.cpp
@@ -16,15 +16,15 @@
 using settings::Key;
 using settings::Kind;
 
-constexpr std::int64_t LongestName = 64;
-constexpr std::int64_t LongestNames = 1000;
-constexpr std::int64_t LargestNumber = 1'000'000;
-constexpr std::int64_t Minute = 60'000;
+constexpr std::int64_t MaxNameLength = 64;
+constexpr std::int64_t MaxNameListLength = 1000;
+constexpr std::int64_t MaxNumber = 1'000'000;
+constexpr std::int64_t MinuteMs = 60'000;
 
 constexpr auto Keys = std::to_array<Key>({
-    { .section = "gateway", .name = "name", .range = { 1, LongestName }, .explanation = "Name of this entry, unique in the deployment." },
-    { .section = "gateway", .name = "failure_domain", .range = { 1, LongestName }, .explanation = "Failure domain of this VM." },
-    { .section = "gateway", .name = "region", .defaultValue = "", .range = { 0, LongestName }, .explanation = "Region of the failure domain." },
+    { .section = "gateway", .name = "name", .range = { 1, MaxNameLength }, .explanation = "Name of this entry, unique in the deployment." },
+    { .section = "gateway", .name = "failure_domain", .range = { 1, MaxNameLength }, .explanation = "Failure domain of this VM." },
+    { .section = "gateway", .name = "region", .defaultValue = "", .range = { 0, MaxNameLength }, .explanation = "Region of the failure domain." },
     { .section = "listen", .name = "caller", .kind = Kind::Address, .explanation = "Address for callers." },
     { .section = "listen", .name = "readiness", .kind = Kind::Address, .explanation = "Address at which the platform asks whether the entry is ready." },
     { .section = "listen", .name = "addresses", .kind = Kind::Address, .explanation = "Address at which callers ask which entries to use." },
@@ -40,7 +40,7 @@
       .name = "lease_ms",
       .kind = Kind::Duration,
       .defaultValue = "10000",
-      .range = { 1000, Minute },
+      .range = { 1000, MinuteMs },
       .explanation = "Time to live of this entry's registration, which it makes once it reads the store for others." },
     { .section = "duties",
       .name = "api",
@@ -51,80 +51,80 @@
     { .section = "duties",
       .name = "assigned",
       .defaultValue = "",
-      .range = { 0, LongestNames },
+      .range = { 0, MaxNameListLength },
       .explanation = "What one entry does for all in this deployment, as the platform names it, with commas." },
     { .section = "duties",
       .name = "leader_lease_ms",
       .kind = Kind::Duration,
       .defaultValue = "3000",
-      .range = { 1000, Minute },
+      .range = { 1000, MinuteMs },
       .explanation = "How long nobody leads after the entry that led was lost." },
     { .section = "duties",
       .name = "usage_window_s",
       .kind = Kind::Number,
       .defaultValue = "5",
-      .range = { 1, LargestNumber },
+      .range = { 1, MaxNumber },
       .explanation = "Seconds of usage that are reported together." },
     { .section = "duties",
       .name = "usage_due_s",
       .kind = Kind::Number,
       .defaultValue = "10",
-      .range = { 1, LargestNumber },
+      .range = { 1, MaxNumber },
       .explanation = "Seconds after the end of a window by which its usage is to be reported." },
     { .section = "vm",
       .name = "core_part",
       .kind = Kind::Number,
       .defaultValue = "1",
-      .range = { 0, LargestNumber },
+      .range = { 0, MaxNumber },
       .explanation = "Part of a core that the VM has." },
     { .section = "vm",
       .name = "link_mbps",
       .kind = Kind::Number,
       .defaultValue = "1000",
-      .range = { 0, LargestNumber },
+      .range = { 0, MaxNumber },
       .explanation = "Megabits a second of the VM's link." },
     { .section = "bounds",
       .name = "key_withdrawal_ms",
       .kind = Kind::Duration,
       .defaultValue = "5000",
-      .range = { 2000, Minute },
+      .range = { 2000, MinuteMs },
       .explanation = "A key that was taken away admits no request after this time, whatever the entry can reach." },
     { .section = "bounds",
       .name = "configuration_apply_ms",
       .kind = Kind::Duration,
       .defaultValue = "2000",
-      .range = { 1000, Minute },
+      .range = { 1000, MinuteMs },
       .explanation
       = "A configuration that was accepted is in force after this time; an entry that knows of a newer one and has not got it admits no request." },
     { .section = "bounds",
       .name = "leaving_s",
       .kind = Kind::Number,
       .defaultValue = "8",
-      .range = { 0, LargestNumber },
+      .range = { 0, MaxNumber },
       .explanation = "Seconds from SIGTERM to the end." },
     { .section = "bounds",
       .name = "retry_ratio",
       .kind = Kind::Number,
       .defaultValue = "0.2",
-      .range = { 0, LargestNumber },
+      .range = { 0, MaxNumber },
       .explanation = "Repeats for each first send." },
     { .section = "bounds",
       .name = "retry_window_s",
       .kind = Kind::Number,
       .defaultValue = "10",
-      .range = { 0, LargestNumber },
+      .range = { 0, MaxNumber },
       .explanation = "Seconds over which repeats count." },
     { .section = "bounds",
       .name = "retry_allowance",
       .kind = Kind::Number,
       .defaultValue = "50",
-      .range = { 0, LargestNumber },
+      .range = { 0, MaxNumber },
       .explanation = "Repeats in a window besides, of all entries together." },
     { .section = "bounds",
       .name = "keep_addresses_s",
       .kind = Kind::Number,
       .defaultValue = "5",
-      .range = { 0, LargestNumber },
+      .range = { 0, MaxNumber },
       .explanation = "Longest time in seconds for which callers keep the answer of where to connect." },
     { .section = "log",
       .name = "level",
@@ -139,10 +139,10 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(settings.number(key)));
 }
 
-/// Links beyond this are no bottleneck, so the processor decides.
-constexpr double EnoughMbps = 100;
+/// A faster link is not the bottleneck of an entry, so only the processor counts beyond this.
+constexpr double MaxRelevantMbps = 100;
 
-/// Seeds are given with a port of another service of theirs.
+/// The configured seed addresses have the port of another service. All entries use the same peer port.
 auto seedsOf(const settings::Settings &settings) -> std::vector<std::string>
 {
     const auto &self = settings.address("listen.peer");
@@ -163,8 +163,8 @@
 
 auto strengthOf(const settings::Settings &settings) -> std::uint32_t
 {
-    constexpr double Scale = 10; // whole numbers tell apart parts of a core
-    return static_cast<std::uint32_t>(Scale * settings.number("vm.core_part") * std::min(settings.number("vm.link_mbps"), EnoughMbps));
+    constexpr double Scale = 10; // so that rounding to an integer keeps differences of a tenth of a core
+    return static_cast<std::uint32_t>(Scale * settings.number("vm.core_part") * std::min(settings.number("vm.link_mbps"), MaxRelevantMbps));
 }
 
 } // namespace
@@ -174,7 +174,7 @@
     return { .keys = Keys };
 }
 
-auto withBoundsOf(GatewaySettings current, const GatewaySettings &changed) -> GatewaySettings
+auto withReloadableSettings(GatewaySettings current, const GatewaySettings &changed) -> GatewaySettings
 {
     current.keyWithdrawal = changed.keyWithdrawal;
     current.configurationApply = changed.configurationApply;
--- a/src/gateway/settings/gatewaysettings.h
+++ b/src/gateway/settings/gatewaysettings.h
@@ -20,33 +20,33 @@
     std::string region;
     std::string callerAddress;
     std::string readinessAddress;
-    std::string addressesAddress; ///< where callers ask for addresses
+    std::string addressesAddress; ///< listen address for callers' queries of the entries' addresses
     std::string peerAddress;
     std::string metricsAddress;
-    std::vector<std::string> seeds; ///< peer addresses of entries that may be there when this one starts
+    std::vector<std::string> seeds; ///< peer addresses of entries that may be running when this one starts
     std::string storeAddress;
-    std::uint32_t strength = 0; ///< of the VM, for the choice of the entries that read the store
+    std::uint32_t strength = 0; ///< relative capacity of the VM; the strongest entries are chosen to read the store
     Duration leaseTime{};
-    std::string dutyApi;           ///< address of the platform's interface for what one entry does for all; empty: there is none
-    std::string duties;            ///< of these, those that the deployment has, as the platform names them
-    Duration leaderLease{};        ///< how long nobody leads after a leader was lost
-    Duration usageWindow{};        ///< whose usage is reported together
-    Duration usageDue{};           ///< after the end of a window
-    Duration keyWithdrawal{};      ///< a key that was taken away may live this long
-    Duration configurationApply{}; ///< a configuration that was accepted is in force everywhere after this
-    Duration leavingTime{};        ///< from the signal to leave to the end of the process
-    double retryRatio = 0;
-    Duration retryWindow{};
-    double retryAllowance = 0;
-    Duration keepAddresses{}; ///< longest time for which callers keep an answer
+    std::string dutyApi;           ///< address of the platform's interface for the duties of the leader; empty: there is none
+    std::string duties;            ///< leader's duties that this deployment has, by the platform's names, separated by commas
+    Duration leaderLease{};        ///< after the loss of a leader, there is none for this time
+    Duration usageWindow{};        ///< length of a usage report's window
+    Duration usageDue{};           ///< time after the end of a window by which its report is due
+    Duration keyWithdrawal{};      ///< longest time for which a withdrawn key is still accepted
+    Duration configurationApply{}; ///< time after which an accepted configuration is in force on all entries
+    Duration leavingTime{};        ///< longest time from the termination signal to the exit of the process
+    double retryRatio = 0;         ///< retries allowed for each first attempt
+    Duration retryWindow{};        ///< window over which retries are counted
+    double retryAllowance = 0;     ///< retries allowed in a window in addition, summed over all entries
+    Duration keepAddresses{};      ///< longest time for which callers may cache the entries' addresses
     std::string logLevel;
 
     auto operator==(const GatewaySettings &) const -> bool = default;
 };
 
-/// \p current with what of \p changed can take effect in a running entry: its bounds and the log level. Names and addresses stay,
-/// because other entries, callers and the store know this one by them.
-auto withBoundsOf(GatewaySettings current, const GatewaySettings &changed) -> GatewaySettings;
+/// \return \p current with the reloadable settings of \p changed: the time limits, the retry budget and the log level. Names and
+/// addresses keep their values, because they identify this entry to other entries, callers and the store.
+auto withReloadableSettings(GatewaySettings current, const GatewaySettings &changed) -> GatewaySettings;
 
 auto gatewaySchema() -> settings::Schema;
 auto readGatewaySettings(const settings::Settings &settings) -> GatewaySettings;
--- a/src/gateway/tests/directory_tests.cpp
+++ b/src/gateway/tests/directory_tests.cpp
@@ -26,7 +26,7 @@
 auto isRegistered(const Site &site) -> bool
 {
     auto found = false;
-    site.onLoop([&](StoreStandin &store) { found = store.find(EntryKey).has_value(); });
+    site.runOnLoop([&](StoreStandin &store) { found = store.find(EntryKey).has_value(); });
     return found;
 }
 
@@ -46,7 +46,7 @@
 {
     const Site site;
     ASSERT_TRUE(waitUntil([&]() { return isRegistered(site); }));
-    site.onLoop([](StoreStandin &store) { store.endLeases(); });
+    site.runOnLoop([](StoreStandin &store) { store.endLeases(); });
     EXPECT_TRUE(waitUntil([&]() { return isRegistered(site); }));
 }
 
@@ -84,9 +84,9 @@
 TEST(DirectoryTests, aConfigurationWhoseHistoryWasDroppedIsReadAnew)
 {
     Site site;
-    site.onLoop([](StoreStandin &store) { store.setBusy(true); });
+    site.runOnLoop([](StoreStandin &store) { store.setBusy(true); });
     site.putConfiguration(2, "key-2");
-    site.onLoop([](StoreStandin &store) {
+    site.runOnLoop([](StoreStandin &store) {
         store.dropHistory();
         store.setBusy(false);
     });
@@ -98,11 +98,11 @@
 TEST(DirectoryTests, anEntryWithoutTheStoreRefusesKeysAndRecovers)
 {
     Site site("2600");
-    site.onLoop([](StoreStandin &store) { store.setSilent(true); });
+    site.runOnLoop([](StoreStandin &store) { store.setSilent(true); });
     EXPECT_TRUE(waitUntil([&]() { return site.readiness().find("503") != std::string::npos; }));
     EXPECT_EQ(statusOf(site, "key-1"), "503");
     EXPECT_EQ(statusOf(site, "unknown"), "503") << "it can't know that the key is unknown";
-    site.onLoop([](StoreStandin &store) { store.setSilent(false); });
+    site.runOnLoop([](StoreStandin &store) { store.setSilent(false); });
     EXPECT_TRUE(waitUntil([&]() { return statusOf(site, "unknown") == "401"; }));
 }
 
@@ -111,7 +111,7 @@
 TEST(DirectoryTests, aBoundThatChangesHoldsInARunningEntry)
 {
     Site site("60000");
-    site.onLoop([](StoreStandin &store) { store.setBusy(true); });
+    site.runOnLoop([](StoreStandin &store) { store.setBusy(true); });
     EXPECT_TRUE(site.setKeyWithdrawal(std::chrono::seconds(2)));
     EXPECT_TRUE(waitUntil([&]() { return !contains(site.readiness(), " 200 "); }));
     EXPECT_EQ(statusOf(site, "key-1"), "503");
@@ -121,7 +121,7 @@
 TEST(DirectoryTests, aListOfServersInPagesIsReadWhole)
 {
     Site site;
-    site.onLoop([](StoreStandin &store) { store.setPageSize(2); });
+    site.runOnLoop([](StoreStandin &store) { store.setPageSize(2); });
     for (const auto *id : { "i-1", "i-2", "i-3", "i-4", "i-5" }) {
         site.addServer(id, "portal", "127.0.0.1:9");
     }
@@ -131,14 +131,14 @@
 /// not ready at once, ends the answer under way, and tells the caller to use its connection no more.
 TEST(DirectoryTests, aLeavingEntryEndsWhatItBegan)
 {
-    ServedSite served;
+    SiteWithServer served;
     auto &site = served.site;
-    const auto connection = served.receive(makeRequest("/notice/1", "id-1", "x"));
-    site.leave();
+    const auto connection = served.sendAndAccept(makeRequest("/notice/1", "id-1", "x"));
+    site.drain();
     EXPECT_NE(site.readiness().find("503"), std::string::npos);
     EXPECT_EQ(site.addresses().find("\"127"), std::string::npos);
     EXPECT_TRUE(waitUntil([&]() { return !isRegistered(site); }));
     connection.send(makeAnswer("id-1", "whole answer"));
     EXPECT_NE(served.caller.readUntil("whole answer").find("Connection: close"), std::string::npos);
-    EXPECT_TRUE(waitUntil([&]() { return site.hasLeft(); }));
+    EXPECT_TRUE(waitUntil([&]() { return site.hasDrained(); }));
 }
--- a/src/gateway/tests/leaving_tests.cpp
+++ b/src/gateway/tests/leaving_tests.cpp
@@ -11,55 +11,55 @@
 {
 
 constexpr TimePoint Start(std::chrono::hours(1));
-constexpr Duration LeavingTime = std::chrono::seconds(8);
+constexpr Duration DrainTime = std::chrono::seconds(8);
 
-struct Course {
+struct DrainTimeline {
     std::optional<Duration> refusedAfter;
     std::optional<Duration> endedAfter;
 };
 
-/// Busy until \p busyFor has passed.
-auto leave(Duration busyFor) -> Course
+/// Runs the drain of an entry that has requests in flight until \p busyTime.
+auto runDrain(Duration busyTime) -> DrainTimeline
 {
-    Course course;
-    auto leaving = beginLeaving(Start);
-    for (Duration passed{}; !course.endedAfter; passed += std::chrono::milliseconds(50)) {
-        const auto step = stepLeaving(leaving, passed < busyFor, LeavingTime, Start + passed);
-        if (step == LeavingStep::RefuseNew) {
-            EXPECT_FALSE(course.refusedAfter) << "told twice";
-            course.refusedAfter = passed;
-        } else if (step == LeavingStep::End) {
-            course.endedAfter = passed;
+    DrainTimeline timeline;
+    auto drain = beginDrain(Start);
+    for (Duration elapsed{}; !timeline.endedAfter; elapsed += std::chrono::milliseconds(50)) {
+        const auto step = advanceDrain(drain, elapsed < busyTime, DrainTime, Start + elapsed);
+        if (step == DrainStep::RefuseNewRequests) {
+            EXPECT_FALSE(timeline.refusedAfter) << "returned twice";
+            timeline.refusedAfter = elapsed;
+        } else if (step == DrainStep::Exit) {
+            timeline.endedAfter = elapsed;
         }
     }
-    return course;
+    return timeline;
 }
 
 } // namespace
 
-/// What callers see: connections refused. Some keep the addresses for three seconds; an idle entry waits for those too.
-TEST(LeavingTests, anIdleEntryEndsWhenCallersHaveForgottenIt)
+/// Guards against refused connections: some callers cache the addresses for three seconds, so even an idle entry waits for them.
+TEST(LeavingTests, anIdleEntryExitsOnceCachedAddressesHaveExpired)
 {
-    const auto course = leave(Duration::zero());
-    EXPECT_GT(course.endedAfter, 3 * AddressKeep);
-    EXPECT_LT(course.endedAfter, std::chrono::seconds(4));
-    EXPECT_FALSE(course.refusedAfter);
+    const auto timeline = runDrain(Duration::zero());
+    EXPECT_GT(timeline.endedAfter, 3 * AddressCacheTime);
+    EXPECT_LT(timeline.endedAfter, std::chrono::seconds(4));
+    EXPECT_FALSE(timeline.refusedAfter);
 }
 
-/// What callers see: an answer cut in the middle. What comes too late to end is refused while there is time to say so, and the
-/// entry ends by itself before it is killed.
-TEST(LeavingTests, aBusyEntryRefusesWhatCannotEndAndEndsInTime)
+/// Guards against responses cut off by the exit: requests that arrive too late to complete are refused while there is still time
+/// to respond, and the entry exits before it is killed.
+TEST(LeavingTests, aBusyEntryRefusesLateRequestsAndExitsInTime)
 {
-    const auto course = leave(std::chrono::hours(1));
-    EXPECT_GT(course.refusedAfter, std::chrono::seconds(5));
-    EXPECT_LT(course.refusedAfter, std::chrono::seconds(6));
-    EXPECT_GT(course.endedAfter, std::chrono::seconds(7));
-    EXPECT_LT(course.endedAfter, LeavingTime);
+    const auto timeline = runDrain(std::chrono::hours(1));
+    EXPECT_GT(timeline.refusedAfter, std::chrono::seconds(5));
+    EXPECT_LT(timeline.refusedAfter, std::chrono::seconds(6));
+    EXPECT_GT(timeline.endedAfter, std::chrono::seconds(7));
+    EXPECT_LT(timeline.endedAfter, DrainTime);
 }
 
-TEST(LeavingTests, anEntryEndsSoonAfterItsLastRequest)
+TEST(LeavingTests, anEntryExitsSoonAfterItsLastRequest)
 {
-    const auto course = leave(std::chrono::seconds(5));
-    EXPECT_GT(course.endedAfter, std::chrono::seconds(5));
-    EXPECT_LT(course.endedAfter, std::chrono::milliseconds(5500));
+    const auto timeline = runDrain(std::chrono::seconds(5));
+    EXPECT_GT(timeline.endedAfter, std::chrono::seconds(5));
+    EXPECT_LT(timeline.endedAfter, std::chrono::milliseconds(5500));
 }
--- a/src/gateway/tests/messages_tests.cpp
+++ b/src/gateway/tests/messages_tests.cpp
@@ -109,7 +109,7 @@
         whole += piece;
         passed += splitter.feed(piece);
     }
-    RC_ASSERT(passed + splitter.takeRest() == whole);
+    RC_ASSERT(passed + splitter.takeRemainder() == whole);
 }
 
 TEST(EventSplitterTests, onlyWholeEventsPass)
@@ -133,5 +133,5 @@
 {
     EventSplitter splitter(100);
     splitter.feed(std::string(101, 'x'));
-    EXPECT_TRUE(splitter.isTooLong());
+    EXPECT_TRUE(splitter.exceedsLimit());
 }
--- a/src/gateway/tests/passthrough_tests.cpp
+++ b/src/gateway/tests/passthrough_tests.cpp
@@ -6,9 +6,9 @@
 using namespace auburnspread::gateway::tests;
 namespace standins = auburnspread::adapter::standins;
 
-TEST(PassThroughTests, methodPathQueryBodyAndHeadersPassUnchangedAndTheKeyDoesNot)
+TEST(PassThroughTests, methodPathQueryBodyAndHeadersAreForwardedUnchangedWithoutTheKey)
 {
-    ServedSite served;
+    SiteWithServer served;
     served.caller.send(makeRequest("/notice/a%2Fb?x=1&y=%20", "id-1", "body of the request", "X-Own: 7\r\n" + standins::deadlineLine(2500) + "\r\n"));
     const auto connection = served.server.accept();
     const auto received = connection.readUntil("body of the request");
@@ -27,9 +27,9 @@
     EXPECT_TRUE(contains(answer, "Content-Length: 10"));
 }
 
-TEST(PassThroughTests, aChunkedBodyPassesWhole)
+TEST(PassThroughTests, aChunkedBodyIsForwardedCompletely)
 {
-    ServedSite served;
+    SiteWithServer served;
     served.caller.send(makeHead("POST /notice/1", "id-1")
                        + "Transfer-Encoding: chunked\r\n\r\n"
                          "5\r\nfirst\r\n7\r\n second\r\n0\r\n\r\n");
@@ -37,13 +37,14 @@
     EXPECT_TRUE(contains(connection.readUntil("first second"), "Content-Length: 12"));
 }
 
-/// What a caller sees: half a quote that looks whole. The server promises more bytes than it sends and closes. The call may
-/// have run, so nobody may repeat it, and the caller must get an error that promises nothing.
-TEST(PassThroughTests, anAnswerThatWasCutIsNeverDelivered)
+/// Guards against a truncated response that looks complete: the server closes the connection after fewer bytes than its
+/// Content-Length. The request may have run, so it must not be retried, and the caller must get an error that does not
+/// invite a retry.
+TEST(PassThroughTests, aTruncatedResponseIsNotDelivered)
 {
-    ServedSite served;
+    SiteWithServer served;
     {
-        const auto connection = served.receive(makeRequest("/notice/1", "id-1", "x"));
+        const auto connection = served.sendAndAccept(makeRequest("/notice/1", "id-1", "x"));
         auto answer = makeAnswer("id-1", "a whole answer");
         connection.send(answer.substr(0, answer.size() - 5));
     }
@@ -52,63 +53,63 @@
     EXPECT_FALSE(contains(answer, "Retry-After"));
 }
 
-/// What a caller sees: another caller's answer. An answer that was given up arrives late on a connection that is used again;
-/// its id gives it away.
-TEST(PassThroughTests, anotherRequestsAnswerIsNeverDelivered)
+/// Guards against a caller that receives another caller's response: the response to an abandoned request arrives late on a
+/// reused connection. Its attempt id does not match.
+TEST(PassThroughTests, aResponseToAnotherRequestIsNotDelivered)
 {
-    ServedSite served;
-    const auto connection = served.receive(makeRequest("/notice/1", "id-1", "x"));
+    SiteWithServer served;
+    const auto connection = served.sendAndAccept(makeRequest("/notice/1", "id-1", "x"));
     connection.send(makeAnswer("id-other", "secret of another"));
     const auto answer = served.caller.readUntil(EndOfHead);
     EXPECT_TRUE(answer.starts_with("HTTP/1.1 502 ")) << answer;
-    EXPECT_TRUE(connection.seesEnd()) << "what still comes on this connection can't be told apart";
+    EXPECT_TRUE(connection.seesEnd()) << "further bytes on this connection can't be assigned to a request";
 }
 
-/// What a caller sees: the end of the last caller's answer as its own. Bytes follow a whole answer; the connection must
-/// not be used again.
-TEST(PassThroughTests, aConnectionWithBytesLeftOverIsNotUsedAgain)
+/// Guards against bytes after a complete response that the next caller would receive as its own response: the connection must
+/// not be reused.
+TEST(PassThroughTests, aConnectionWithUnreadBytesIsNotReused)
 {
-    ServedSite served;
-    const auto first = served.receive(makeRequest("/notice/1", "id-1", "x"));
+    SiteWithServer served;
+    const auto first = served.sendAndAccept(makeRequest("/notice/1", "id-1", "x"));
     first.send(makeAnswer("id-1", "first") + makeAnswer("id-2", "forged"));
     EXPECT_TRUE(contains(served.caller.readUntil("first"), "200"));
-    const auto second = served.receive(makeRequest("/notice/2", "id-2", "x"));
+    const auto second = served.sendAndAccept(makeRequest("/notice/2", "id-2", "x"));
     second.send(makeAnswer("id-2", "second"));
     EXPECT_TRUE(contains(served.caller.readUntil("second"), "200"));
 }
 
-TEST(PassThroughTests, anAnswerWithoutLengthEndsWithItsConnection)
+TEST(PassThroughTests, aResponseWithoutLengthEndsWithItsConnection)
 {
-    ServedSite served;
+    SiteWithServer served;
     {
-        const auto connection = served.receive(makeRequest("/notice/1", "id-1", "x"));
+        const auto connection = served.sendAndAccept(makeRequest("/notice/1", "id-1", "x"));
         connection.send(makeAnswerHead("id-1") + "\r\nuntil the end");
     }
     EXPECT_TRUE(contains(served.caller.readUntil("until the end"), "Content-Length: 13"));
 }
 
-/// What a caller sees: a success that no backend server gave. Only an answer with the server's signature may pass as one.
+/// Guards against a success that did not come from a backend server: a success needs the server's signature.
 TEST(PassThroughTests, aSuccessWithoutSignatureIsNotDelivered)
 {
-    ServedSite served;
-    const auto connection = served.receive(makeRequest("/notice/1", "id-1", "x"));
+    SiteWithServer served;
+    const auto connection = served.sendAndAccept(makeRequest("/notice/1", "id-1", "x"));
     connection.send("HTTP/1.1 200 OK\r\n" + standins::attemptIdLine("id-1") + "\r\nContent-Length: 2\r\n\r\nok");
     EXPECT_TRUE(served.caller.readUntil(EndOfHead).starts_with("HTTP/1.1 502 "));
 }
 
-/// What a caller sees: "not run, come again" for a notice that was sent. A server answers 503 without the word that it ran
-/// nothing; passing it on would promise what nobody knows.
-TEST(PassThroughTests, aBare503OfAServerIsNoPromise)
+/// Guards against a 503, which tells the caller to retry, for a request that ran. The server responds with 503 without the
+/// header that states that the request was not executed.
+TEST(PassThroughTests, a503WithoutNotExecutedHeaderIsNotPassedOn)
 {
-    ServedSite served;
-    const auto connection = served.receive(makeRequest("/notice/1", "id-1", "x"));
+    SiteWithServer served;
+    const auto connection = served.sendAndAccept(makeRequest("/notice/1", "id-1", "x"));
     connection.send(makeAnswer("id-1", "", "503 Service Unavailable"));
     EXPECT_TRUE(served.caller.readUntil(EndOfHead).starts_with("HTTP/1.1 502 "));
 }
 
-/// What an operator sees: an alert on retries that never comes. A call breaks at its first server and goes to its second; the
-/// repeat counts under the failure that caused it.
-TEST(PassThroughTests, anIdempotentCallGoesToAnotherServerWhenItsFirstBreaks)
+/// Guards against retries that are missing from the metrics. The connection to the first server breaks and the request goes to
+/// the second; the retry is counted under the failure that caused it.
+TEST(PassThroughTests, anIdempotentRequestIsRetriedOnAnotherServerAfterABrokenConnection)
 {
     Site site;
     auto first = std::make_unique<Server>();
@@ -127,19 +128,19 @@
     EXPECT_TRUE(contains(caller.readUntil("answer"), "200"));
 }
 
-/// What an operator sees: servers at work for callers that left long ago. The caller closes before the answer; the
-/// connection to the server must be closed at once.
-TEST(PassThroughTests, aCallerThatLeavesEndsTheWorkAtTheServer)
+/// Guards against servers that work for callers that have disconnected: when the caller closes its connection before the
+/// response, the connection to the server must be closed at once.
+TEST(PassThroughTests, theDisconnectOfACallerCancelsItsAttempt)
 {
-    ServedSite served;
-    const auto connection = served.receive(makeRequest("/fetch/1", "id-1"));
+    SiteWithServer served;
+    const auto connection = served.sendAndAccept(makeRequest("/fetch/1", "id-1"));
     served.caller.close();
     EXPECT_TRUE(connection.seesEnd());
 }
 
-/// What an operator sees: a request that its sender had no key for. The body's length is given twice; the two ends could
-/// disagree on where the next request begins. Nothing behind it may be read.
-TEST(PassThroughTests, aDoubtfulLengthIsRefusedAndTheConnectionClosed)
+/// Guards against request smuggling: with two indications of the body length, entry and server could disagree on where the
+/// next request begins, and a request would run that its sender had no key for. Nothing after such a request may be read.
+TEST(PassThroughTests, anAmbiguousLengthIsRejectedAndTheConnectionClosed)
 {
     Site site;
     const Server server;
@@ -154,9 +155,9 @@
     EXPECT_TRUE(contains(site.metrics(), "auburnspread_sends_total 0"));
 }
 
-/// What a caller sees: "withheld" for a call that harms nobody. Two callers fetch the same path; the connections of one break
-/// twice. The other one's call has no body either, but is another request.
-TEST(PassThroughTests, aCallIsNotWithheldForWhatBefellAnotherCaller)
+/// Guards against a harmless request that is quarantined. Two callers send equal requests with different keys; the connections
+/// of the first caller's attempts break twice. The other caller's request must count as a different one.
+TEST(PassThroughTests, aRequestIsNotQuarantinedForTheFailuresOfAnotherCaller)
 {
     Site site;
     const Server server;
@@ -180,18 +181,18 @@
     EXPECT_TRUE(contains(other.readUntil("answer"), "200"));
 }
 
-/// What an operator sees: as above. A lone carriage return stands in the target; a backend server that takes it for the end of
+/// Guards against request smuggling through a lone carriage return in the target: a backend server that takes it for the end of
 /// the line would read two requests.
-TEST(PassThroughTests, aLineEndInTheTargetIsRefused)
+TEST(PassThroughTests, aLineBreakInTheTargetIsRejected)
 {
-    const ServedSite served;
+    const SiteWithServer served;
     Caller caller(served.site.callerAddress());
     caller.send(makeHead("GET /fetch/1\rX-Smuggled: 1", "id-1") + "\r\n");
     EXPECT_TRUE(caller.readToEnd().starts_with("HTTP/1.1 400 "));
     EXPECT_TRUE(contains(served.site.metrics(), "auburnspread_sends_total 0"));
 }
 
-TEST(PassThroughTests, anOversizeHeadIsRefused)
+TEST(PassThroughTests, anOversizedHeadIsRejected)
 {
     Site site;
     Caller caller(site.callerAddress());
--- a/src/gateway/tests/serverlimit_tests.cpp
+++ b/src/gateway/tests/serverlimit_tests.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-/// A backend server on a loop in a thread of its own, which names a limit from its first answer on.
+/// A backend server on an event loop in a separate thread. It states its rate limit in every response.
 class LimitedServer
 {
 public:
@@ -52,8 +52,8 @@
     std::thread thread_;
 };
 
-/// Answers to requests that are all sent before the first answer is read.
-auto sendTogether(const Site &site, const std::string &path, int requests) -> std::vector<std::string>
+/// Sends all requests before it reads the first response. \return the response heads
+auto sendConcurrently(const Site &site, const std::string &path, int requests) -> std::vector<std::string>
 {
     std::deque<Caller> callers;
     for (auto i = 0; i < requests; ++i) {
@@ -67,12 +67,12 @@
 
 } // namespace
 
-/// Guards against a server in need that gets all that arrives, although its answers say how little it takes.
-TEST(ServerLimitTests, aServerGetsNoMoreThanItsAnswersAllow)
+/// Guards against an overloaded server that receives all requests although its responses state a low rate limit.
+TEST(ServerLimitTests, aServerReceivesNoMoreThanItsResponsesAllow)
 {
     constexpr double PerSecond = 0.1;
     constexpr int Requests = 20;
-    constexpr int MostExecutions = 5; // 1.5 times the rate over 4 s, and 5 more
+    constexpr int MaxExecutions = 5; // 1.5 times the rate over 4 s, and a burst of 5
     Site site;
     const LimitedServer server(PerSecond);
     site.addServer("i-1", "portal", server.address());
@@ -80,31 +80,31 @@
     first.send(makeRequest("/fetch/first", "id-first"));
     EXPECT_TRUE(first.readUntil(EndOfHead).starts_with("HTTP/1.1 200 "));
 
-    const auto answers = sendTogether(site, "/fetch/more", Requests);
-    EXPECT_LE(server.executions(), 1 + MostExecutions);
+    const auto answers = sendConcurrently(site, "/fetch/more", Requests);
+    EXPECT_LE(server.executions(), 1 + MaxExecutions);
     const auto isRefused = [](const std::string &answer) { return answer.starts_with("HTTP/1.1 503 ") && contains(answer, "Retry-After"); };
-    EXPECT_GE(std::count_if(answers.begin(), answers.end(), isRefused), Requests - MostExecutions) << answers.front();
+    EXPECT_GE(std::count_if(answers.begin(), answers.end(), isRefused), Requests - MaxExecutions) << answers.front();
 }
 
-/// Guards against a server in need that gets everything again after an error or a refusal that does not repeat its limit.
-TEST(ServerLimitTests, anErrorWithoutALimitDoesNotEndIt)
+/// Guards against an overloaded server that receives all requests again after an error response that does not repeat its limit.
+TEST(ServerLimitTests, anErrorWithoutALimitDoesNotClearIt)
 {
-    ServedSite served;
+    SiteWithServer served;
     const auto limited = [&served]() { return contains(served.site.metrics(), "\nauburnspread_limited_servers 1\n"); };
     const std::string limitLine = standins::limitLine("1000") + "\r\n";
     {
-        const auto connection = served.receive(makeRequest("/notice/1", "id-1", "x"));
+        const auto connection = served.sendAndAccept(makeRequest("/notice/1", "id-1", "x"));
         connection.send(makeAnswerHead("id-1") + limitLine + "Content-Length: 0\r\n\r\n");
         served.caller.readUntil(EndOfHead);
     }
     EXPECT_TRUE(limited());
     {
-        const auto connection = served.receive(makeRequest("/notice/2", "id-2", "x"));
+        const auto connection = served.sendAndAccept(makeRequest("/notice/2", "id-2", "x"));
         connection.send(makeAnswer("id-2", "", "500 Internal Server Error"));
         served.caller.readUntil(EndOfHead);
     }
     EXPECT_TRUE(limited());
-    const auto connection = served.receive(makeRequest("/notice/3", "id-3", "x"));
+    const auto connection = served.sendAndAccept(makeRequest("/notice/3", "id-3", "x"));
     connection.send(makeAnswer("id-3", "done"));
     served.caller.readUntil("done");
     EXPECT_FALSE(limited());
--- a/src/gateway/tests/settings_tests.cpp
+++ b/src/gateway/tests/settings_tests.cpp
@@ -22,9 +22,9 @@
 
 } // namespace
 
-/// What operators see: an entry that runs ends because somebody wrote a word where a number stands, and the check before had
-/// found nothing. Each number is judged with the file, so a fault is named and what is in force stays.
-TEST(GatewaySettingsTests, whatIsNoNumberIsFoundWithTheFile)
+/// Guards against an entry that exits on the reload of a settings file whose invalid number passed the previous check. Every
+/// number is validated when the file is read, so the error is reported and the current settings stay in force.
+TEST(GatewaySettingsTests, invalidNumbersAreRejectedWithTheFile)
 {
     for (const auto *key : { "vm.core_part",
                              "vm.link_mbps",
@@ -40,13 +40,13 @@
     }
 }
 
-TEST(GatewaySettingsTests, boundsTakeEffectInARunningEntryAndNamesDoNot)
+TEST(GatewaySettingsTests, boundsAreReloadableAndNamesAreNot)
 {
     const auto current = read({});
     const auto bounds = read({ "bounds.retry_allowance=70", "bounds.key_withdrawal_ms=9000", "bounds.configuration_apply_ms=3000", "log.level=debug" });
-    EXPECT_EQ(withBoundsOf(current, bounds), bounds);
+    EXPECT_EQ(withReloadableSettings(current, bounds), bounds);
     const auto name = read({ "gateway.name=e2", "bounds.retry_allowance=70" });
-    const auto inForce = withBoundsOf(current, name);
+    const auto inForce = withReloadableSettings(current, name);
     EXPECT_EQ(inForce.name, "e1");
     EXPECT_EQ(inForce.retryAllowance, 70);
     EXPECT_NE(inForce, name);
--- a/src/gateway/tests/site.cpp
+++ b/src/gateway/tests/site.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-constexpr auto WaitBound = std::chrono::seconds(30);
+constexpr auto WaitTimeout = std::chrono::seconds(30);
 
 auto makeRoute(const std::string &prefix, passthrough::Repeatability repeatability, std::uint32_t attempts) -> passthrough::Route
 {
@@ -59,22 +59,22 @@
 
 } // namespace
 
-struct Site::Running {
+struct Site::State {
     task::EventLoop loop;
     std::unique_ptr<standins::StoreStandin> store;
     std::unique_ptr<Gateway> gateway;
     GatewaySettings settings;
     std::string callerAddress;
-    std::atomic<bool> left = false;
+    std::atomic<bool> hasDrained = false;
 };
 
 Site::Site(const std::string &keyWithdrawalMs)
-    : running_(std::make_unique<Running>())
+    : state_(std::make_unique<State>())
 {
-    auto &running = *running_;
-    running.store = std::make_unique<standins::StoreStandin>(running.loop);
-    running.store->put(std::string(standins::ConfigurationKey), makeDocument(1, "key-1"));
-    running.settings = {
+    auto &state = *state_;
+    state.store = std::make_unique<standins::StoreStandin>(state.loop);
+    state.store->put(std::string(standins::ConfigurationKey), makeDocument(1, "key-1"));
+    state.settings = {
         .name = "entry-1",
         .failureDomain = "a",
         .callerAddress = "127.0.0.1:0",
@@ -82,7 +82,7 @@
         .addressesAddress = auburnspread::standins::takeLoopbackAddress(),
         .peerAddress = auburnspread::standins::takeLoopbackAddress(),
         .metricsAddress = auburnspread::standins::takeLoopbackAddress(),
-        .storeAddress = running.store->address(),
+        .storeAddress = state.store->address(),
         .leaseTime = std::chrono::milliseconds(3000),
         .keyWithdrawal = std::chrono::milliseconds(std::stoi(keyWithdrawalMs)),
         .leavingTime = std::chrono::seconds(8),
@@ -92,48 +92,48 @@
         .keepAddresses = std::chrono::seconds(5),
         .logLevel = "error",
     };
-    running.gateway = std::make_unique<Gateway>(running.loop, running.settings);
-    running.callerAddress = running.gateway->callerAddress();
-    running.gateway->start();
-    thread_ = std::thread([&running]() { running.loop.run(); });
+    state.gateway = std::make_unique<Gateway>(state.loop, state.settings);
+    state.callerAddress = state.gateway->callerAddress();
+    state.gateway->start();
+    thread_ = std::thread([&state]() { state.loop.run(); });
     if (!waitUntil([this]() { return readiness().find("200") != std::string::npos; })) {
-        throw std::runtime_error("the gateway does not become ready");
+        throw std::runtime_error("the gateway did not become ready");
     }
 }
 
 Site::~Site()
 {
-    running_->loop.stop();
+    state_->loop.stop();
     thread_.join();
-    running_->gateway.reset();
-    running_->store.reset();
+    state_->gateway.reset();
+    state_->store.reset();
 }
 
 auto Site::callerAddress() const -> const std::string &
 {
-    return running_->callerAddress;
+    return state_->callerAddress;
 }
 
 auto Site::readiness() const -> std::string
 {
-    return fetchPage(running_->settings.readinessAddress, std::string(standins::ReadinessPath));
+    return fetchPage(state_->settings.readinessAddress, std::string(standins::ReadinessPath));
 }
 
 auto Site::addresses() const -> std::string
 {
-    return fetchPage(running_->settings.addressesAddress, standins::addressesQuestion(Host, "a"));
+    return fetchPage(state_->settings.addressesAddress, standins::addressesQuestion(Host, "a"));
 }
 
 auto Site::metrics() const -> std::string
 {
-    return fetchPage(running_->settings.metricsAddress, "/metrics");
+    return fetchPage(state_->settings.metricsAddress, "/metrics");
 }
 
-auto Site::onLoop(const std::function<void(standins::StoreStandin &store)> &action) const -> void
+auto Site::runOnLoop(const std::function<void(standins::StoreStandin &store)> &action) const -> void
 {
     std::promise<void> done;
-    const auto watch = running_->loop.after(Duration::zero(), [&]() {
-        action(*running_->store);
+    const auto watch = state_->loop.after(Duration::zero(), [&]() {
+        action(*state_->store);
         done.set_value();
     });
     done.get_future().wait();
@@ -142,52 +142,52 @@
 auto Site::addServer(const std::string &id, const std::string &service, const std::string &address) -> void
 {
     const auto entry = standins::serverText({ .service = service, .address = address, .failureDomain = "a", .slots = 6 });
-    const auto known = [this]() {
+    const auto countServers = [this]() {
         const auto page = metrics();
         const std::string name = "\nauburnspread_backend_servers ";
         const auto at = page.find(name);
         return at == std::string::npos ? 0 : std::stoi(page.substr(at + name.size()));
     };
-    const auto before = known();
-    onLoop([&](standins::StoreStandin &store) { store.put(standins::serverKey(id), entry); });
-    if (!waitUntil([&]() { return known() > before; })) {
-        throw std::runtime_error("the gateway does not see the server");
+    const auto countBefore = countServers();
+    runOnLoop([&](standins::StoreStandin &store) { store.put(standins::serverKey(id), entry); });
+    if (!waitUntil([&]() { return countServers() > countBefore; })) {
+        throw std::runtime_error("the gateway did not read the registration of the server");
     }
 }
 
 auto Site::putConfiguration(std::uint64_t version, const std::string &key) -> void
 {
-    onLoop([&](standins::StoreStandin &store) { store.put(std::string(standins::ConfigurationKey), makeDocument(version, key)); });
+    runOnLoop([&](standins::StoreStandin &store) { store.put(std::string(standins::ConfigurationKey), makeDocument(version, key)); });
 }
 
 auto Site::setKeyWithdrawal(Duration keyWithdrawal) -> bool
 {
-    auto isAllInForce = false;
-    onLoop([&](standins::StoreStandin &) {
-        auto changed = running_->settings;
+    auto isFullyApplied = false;
+    runOnLoop([&](standins::StoreStandin &) {
+        auto changed = state_->settings;
         changed.keyWithdrawal = keyWithdrawal;
-        isAllInForce = running_->gateway->takeSettings(changed);
+        isFullyApplied = state_->gateway->applySettings(changed);
     });
-    return isAllInForce;
+    return isFullyApplied;
 }
 
-auto Site::leave() -> void
+auto Site::drain() -> void
 {
-    onLoop([this](standins::StoreStandin &) { running_->gateway->leave([this]() { running_->left = true; }); });
+    runOnLoop([this](standins::StoreStandin &) { state_->gateway->drain([this]() { state_->hasDrained = true; }); });
 }
 
-auto Site::hasLeft() const -> bool
+auto Site::hasDrained() const -> bool
 {
-    return running_->left;
+    return state_->hasDrained;
 }
 
-ServedSite::ServedSite()
+SiteWithServer::SiteWithServer()
     : caller(site.callerAddress())
 {
     site.addServer("i-1", "portal", server.address());
 }
 
-auto ServedSite::receive(const std::string &request) const -> Connection
+auto SiteWithServer::sendAndAccept(const std::string &request) const -> Connection
 {
     caller.send(request);
     auto connection = server.accept();
@@ -202,9 +202,9 @@
 
 auto waitUntil(const std::function<bool()> &isTrue) -> bool
 {
-    const auto bound = std::chrono::steady_clock::now() + WaitBound;
+    const auto deadline = std::chrono::steady_clock::now() + WaitTimeout;
     while (!isTrue()) {
-        if (std::chrono::steady_clock::now() > bound) {
+        if (std::chrono::steady_clock::now() > deadline) {
             return false;
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
--- a/src/gateway/tests/streams_tests.cpp
+++ b/src/gateway/tests/streams_tests.cpp
@@ -15,8 +15,8 @@
 
 TEST(StreamTests, eachEventIsRelayedWhenItArrives)
 {
-    ServedSite served;
-    const auto connection = served.receive(makeRequest("/quote/1", "id-1", "x"));
+    SiteWithServer served;
+    const auto connection = served.sendAndAccept(makeRequest("/quote/1", "id-1", "x"));
     connection.send(makeStreamHead("id-1") + makeChunk("id: 1\ndata: a\n\n"));
     EXPECT_TRUE(contains(served.caller.readUntil("data: a\n\n"), standins::signatureLine("sig-id-1")));
     connection.send(makeChunk("id: 2\ndata: b\n\n"));
@@ -25,22 +25,22 @@
     EXPECT_TRUE(contains(served.caller.readUntil(LastChunk), LastChunk));
 }
 
-/// What a caller sees: a quote that ends in the middle and looks whole. The server breaks off; the stream may not be
+/// Guards against a truncated stream that looks complete. The server closes the connection during a stream that can't be
 /// resumed, so the caller's connection must end without the last chunk.
 TEST(StreamTests, aBrokenStreamDoesNotLookComplete)
 {
-    ServedSite served;
+    SiteWithServer served;
     {
-        const auto connection = served.receive(makeRequest("/quote/1", "id-1", "x"));
+        const auto connection = served.sendAndAccept(makeRequest("/quote/1", "id-1", "x"));
         connection.send(makeStreamHead("id-1") + makeChunk("id: 1\ndata: a\n\n"));
         served.caller.readUntil("data: a\n\n");
     }
     EXPECT_FALSE(contains(served.caller.readToEnd(), LastChunk));
 }
 
-/// What a caller sees: half an event joined to a whole one, or an event twice. The server breaks off in the middle of event
-/// 2; the stream goes on at another server after event 1, and the caller reads each event once.
-TEST(StreamTests, aResumedStreamHasEachEventOnceAndWhole)
+/// Guards against a partial event joined to a complete one, and against duplicate events. The server closes the connection in the
+/// middle of event 2; the stream is resumed on another server after event 1, and the caller reads each event once.
+TEST(StreamTests, aResumedStreamContainsEachEventOnceAndComplete)
 {
     Site site;
     const Server first;
@@ -65,10 +65,10 @@
     EXPECT_EQ(answer.find("id: 2"), answer.rfind("id: 2"));
 }
 
-TEST(StreamTests, aServersRefusalOfAStreamIsPassedOnWhole)
+TEST(StreamTests, anErrorResponseToAStreamRequestIsForwardedCompletely)
 {
-    ServedSite served;
-    const auto connection = served.receive(makeRequest("/quote/1", "id-1", "x"));
+    SiteWithServer served;
+    const auto connection = served.sendAndAccept(makeRequest("/quote/1", "id-1", "x"));
     connection.send(makeAnswer("id-1", "wrong model", "400 Bad Request"));
     EXPECT_TRUE(served.caller.readUntil("wrong model").starts_with("HTTP/1.1 400 "));
 }
--- a/src/gateway/upstream.cpp
+++ b/src/gateway/upstream.cpp
@@ -30,15 +30,17 @@
 constexpr int FirstSuccessStatus = 200;
 constexpr int FirstRedirectStatus = 300;
 
-/// A connection on one network segment stands within a millisecond; a lost first packet is sent again after a second.
+/// On one network segment, a connection is established within a millisecond. The retransmission of a lost first packet would
+/// take a second, which is not waited for.
 constexpr Duration ConnectTimeout = std::chrono::milliseconds(400);
-/// Attempts have time limits of their own, so the library's must never come first.
+/// Attempts have their own timeouts, so libevent's must never expire first.
 constexpr int LibraryTimeoutSeconds = 86'400;
-/// Engines close idle connections after some seconds and say so; without a word this is the bound.
-constexpr Duration IdleAge = std::chrono::seconds(4);
-constexpr std::size_t IdlePerServer = 32;
-constexpr std::size_t MostHeaderBytes = 65'536;
-constexpr std::size_t MostBodyBytes = std::size_t{ 16 } * 1024 * 1024;
+/// Idle connections are closed after this time if the server did not announce its idle timeout, which is some seconds for
+/// engines.
+constexpr Duration MaxIdleAge = std::chrono::seconds(4);
+constexpr std::size_t MaxIdlePerServer = 32;
+constexpr std::size_t MaxHeaderBytes = 65'536;
+constexpr std::size_t MaxBodyBytes = std::size_t{ 16 } * 1024 * 1024;
 
 struct Attempt {
     AttemptId id{};
@@ -47,21 +49,21 @@
     bool isStream = false;
     std::unique_ptr<http::Connection> connection;
     adapter::AnswerHead head;
-    WholeAnswer whole; ///< head of any answer, body of one that is not relayed as a stream
+    BufferedResponse response; ///< head of the response, and its body if it is not relayed as a stream
     EventSplitter splitter;
-    bool headSeen = false;
-    bool relays = false;            ///< the answer is a stream
-    bool relayed = false;           ///< some of it was passed on
-    bool over = false;              ///< calls back no more, or not yet
-    std::optional<Failure> verdict; ///< why the answer can't be used, known before its end
-    TimePoint connectBy;
-    TimePoint startBy;  ///< not set: no bound
-    TimePoint silentBy; ///< not set: no bound
-    Duration silence{};
+    bool headReceived = false;
+    bool isRelayed = false;           ///< the response is relayed event by event
+    bool relayStarted = false;        ///< some of its events were relayed
+    bool ignoresCallbacks = false;    ///< callbacks of libevent are ignored while the attempt starts and after it has ended
+    std::optional<Failure> rejection; ///< why the response can't be used, known before its end
+    TimePoint connectDeadline;
+    TimePoint firstByteDeadline; ///< default value: none
+    TimePoint progressDeadline;  ///< default value: none
+    Duration progressTimeout{};
 };
 
-/// Not set for a timeout of 0.
-auto boundAfter(Duration timeout) -> TimePoint
+/// \return the default value, which means no deadline, for a timeout of 0
+auto deadlineAfter(Duration timeout) -> TimePoint
 {
     return timeout == Duration::zero() ? TimePoint() : now() + timeout;
 }
@@ -71,46 +73,46 @@
     return status >= FirstSuccessStatus && status < FirstRedirectStatus;
 }
 
-/// Statuses that promise the caller that nothing ran. Only the backend server itself can know.
-auto promisesNotRun(int status) -> bool
+/// Statuses that tell the caller that the request was not executed. Only the backend server itself can know this.
+auto claimsNotExecuted(int status) -> bool
 {
     return status == RequestTimeoutStatus || status == MisdirectedStatus || status == LimitedStatus || status == UnavailableStatus;
 }
 
-/// Why an answer with this head can't be the caller's; nothing if it can.
+/// \return why a response with this head must not be passed on to the caller; nothing if it may
 ///
-/// Failure: an answer of another request, a late one or one that was spoilt on the way arrives where ours is due.
-/// Symptom: a caller reads another's quote. Only an answer that names our attempt and, if it is a success, carries the
-/// backend server's signature and no further encoding passes.
-auto judgeHead(const Attempt &attempt) -> std::optional<Failure>
+/// A response to another request, a late one or a corrupted one can arrive in place of the expected one, and the caller would
+/// read another caller's data. A response is accepted only if it names this attempt and, if it is a success, carries the
+/// backend server's signature and no additional content encoding.
+auto checkResponseHead(const Attempt &attempt) -> std::optional<Failure>
 {
-    const auto status = attempt.whole.status;
+    const auto status = attempt.response.status;
     if (attempt.head.isOthers) {
         return Failure::WrongAttempt;
     }
     if (attempt.head.wrongServer) {
         return Failure::WrongServer;
     }
-    if (promisesNotRun(status)) {
+    if (claimsNotExecuted(status)) {
         return attempt.head.notRun ? Failure::NotStarted : Failure::BadResponse;
     }
-    if (isSuccess(status) && (!attempt.head.isSigned || !http::findHeader(attempt.whole.headers, "Content-Encoding").empty())) {
+    if (isSuccess(status) && (!attempt.head.isSigned || !http::findHeader(attempt.response.headers, "Content-Encoding").empty())) {
         return Failure::BadResponse;
     }
     return std::nullopt;
 }
 
-/// Whether the head says at which rate the server takes requests. Only a proper success says so by naming none: errors may come from
-/// something before the server.
-auto saysLimit(const Attempt &attempt) -> bool
+/// Whether the head tells the server's rate limit. The absence of a limit counts only in a valid success, because an error
+/// response may come from an intermediary.
+auto carriesRateLimit(const Attempt &attempt) -> bool
 {
     if (attempt.head.perSecond) {
-        return !attempt.verdict || attempt.verdict == Failure::NotStarted;
+        return !attempt.rejection || attempt.rejection == Failure::NotStarted;
     }
-    return !attempt.verdict && isSuccess(attempt.whole.status) && !attempt.head.isLimitUnreadable;
+    return !attempt.rejection && isSuccess(attempt.response.status) && !attempt.head.isLimitUnreadable;
 }
 
-auto takeBytes(evbuffer *buffer) -> std::string
+auto drainBuffer(evbuffer *buffer) -> std::string
 {
     std::string bytes(evbuffer_get_length(buffer), '\0');
     evbuffer_remove(buffer, bytes.data(), bytes.size());
@@ -130,33 +132,33 @@
     Impl(task::EventLoop &eventLoop, UpstreamCallbacks upstreamCallbacks)
         : loop(eventLoop)
         , callbacks(std::move(upstreamCallbacks))
-        , pool(eventLoop, { .idleAge = IdleAge, .idlePerAddress = IdlePerServer, .headerBytes = MostHeaderBytes, .bodyBytes = MostBodyBytes })
+        , pool(eventLoop, { .idleAge = MaxIdleAge, .idlePerAddress = MaxIdlePerServer, .headerBytes = MaxHeaderBytes, .bodyBytes = MaxBodyBytes })
     {
     }
 
-    auto start(Attempt &attempt, const passthrough::Send &order, const Payload &payload) -> bool;
-    auto takeHead(Attempt &attempt, evhttp_request *request) -> void;
-    auto takeBody(Attempt &attempt, evhttp_request *request) -> void;
+    auto start(Attempt &attempt, const passthrough::Send &action, const BufferedRequest &message) -> bool;
+    auto handleHead(Attempt &attempt, evhttp_request *request) -> void;
+    auto handleBody(Attempt &attempt, evhttp_request *request) -> void;
     auto relay(Attempt &attempt, const std::string &events) -> void;
-    auto takeDone(AttemptId id, evhttp_request *request) -> void;
-    auto takeEnd(Attempt &attempt) -> void;
+    auto handleDone(AttemptId id, evhttp_request *request) -> void;
+    auto completeAttempt(Attempt &attempt) -> void;
     auto fail(Attempt &attempt, Failure failure) -> void;
     auto close(Attempt &attempt, bool mayKeep) -> void;
-    auto failureOfBreak(const Attempt &attempt) const -> Failure;
+    auto disconnectFailure(const Attempt &attempt) const -> Failure;
 
     task::EventLoop &loop;
     UpstreamCallbacks callbacks;
     http::ConnectionPool pool;
     std::unordered_map<AttemptId, std::unique_ptr<Attempt>> attempts;
-    std::vector<AttemptId> stillborn; ///< could not be started; failed on the loop's next turn
-    task::Watch stillbornTimer;
+    std::vector<AttemptId> failedStarts; ///< attempts that could not be started; failed in the event loop's next iteration
+    task::Watch failedStartsTimer;
 };
 
 namespace
 {
 
-/// evhttp's callbacks find their attempt through this. The connection owns it, because the library may drop a request
-/// without a last callback.
+/// Context of libevent's callbacks, which leads to the attempt. The connection owns it, because libevent may drop a request
+/// without a final callback.
 struct RequestContext {
     std::function<void(evhttp_request *request)> onHead;
     std::function<void(evhttp_request *request)> onBody;
@@ -182,7 +184,7 @@
 
 auto onDoneCallback(evhttp_request *request, void *context) -> void
 {
-    // a copy: the call may begin the connection's next exchange, which ends this context
+    // copied, because the call may start the next exchange on the connection, which destroys this context
     const auto onDone = contextOf(context).onDone;
     onDone(request);
 }
@@ -195,30 +197,30 @@
 } // namespace
 
 /// \return false if the attempt could not be started
-auto Upstream::Impl::start(Attempt &attempt, const passthrough::Send &order, const Payload &payload) -> bool
+auto Upstream::Impl::start(Attempt &attempt, const passthrough::Send &action, const BufferedRequest &message) -> bool
 {
-    const auto endpoint = net::parseEndpoint(order.address);
+    const auto endpoint = net::parseEndpoint(action.address);
     if (!endpoint) {
         return false;
     }
-    attempt.connection = pool.take(order.server, *endpoint, false);
+    attempt.connection = pool.take(action.server, *endpoint, false);
     evhttp_connection_set_timeout(attempt.connection->raw.get(), LibraryTimeoutSeconds);
     const auto id = attempt.id;
-    const auto whenKnown = [this, id](auto action) {
+    const auto ifOpen = [this, id](auto callback) {
         const auto found = attempts.find(id);
-        if (found != attempts.end() && !found->second->over) {
-            action(*found->second);
+        if (found != attempts.end() && !found->second->ignoresCallbacks) {
+            callback(*found->second);
         }
     };
     const auto context = std::make_shared<RequestContext>(RequestContext{
-        .onHead = [this, whenKnown](evhttp_request *request) { whenKnown([&](Attempt &known) { takeHead(known, request); }); },
-        .onBody = [this, whenKnown](evhttp_request *request) { whenKnown([&](Attempt &known) { takeBody(known, request); }); },
-        .onDone = [this, id](evhttp_request *request) { takeDone(id, request); },
+        .onHead = [this, ifOpen](evhttp_request *request) { ifOpen([&](Attempt &openAttempt) { handleHead(openAttempt, request); }); },
+        .onBody = [this, ifOpen](evhttp_request *request) { ifOpen([&](Attempt &openAttempt) { handleBody(openAttempt, request); }); },
+        .onDone = [this, id](evhttp_request *request) { handleDone(id, request); },
         .onError =
-            [whenKnown](evhttp_request_error error) {
-                whenKnown([&](Attempt &known) {
+            [ifOpen](evhttp_request_error error) {
+                ifOpen([&](Attempt &openAttempt) {
                     if (error == EVREQ_HTTP_INVALID_HEADER || error == EVREQ_HTTP_DATA_TOO_LONG) {
-                        known.verdict = Failure::BadResponse;
+                        openAttempt.rejection = Failure::BadResponse;
                     }
                 });
             },
@@ -229,54 +231,54 @@
     evhttp_request_set_chunked_cb(request, onBodyCallback);
     evhttp_request_set_error_cb(request, onErrorCallback);
     auto *headers = evhttp_request_get_output_headers(request);
-    const auto encoded = adapter::encodeAttemptHeaders(payload.headers,
+    const auto encoded = adapter::encodeAttemptHeaders(message.headers,
                                                        {
-                                                           .server = order.server,
-                                                           .workspace = order.workspace,
-                                                           .rank = order.rank,
-                                                           .remaining = order.remaining,
-                                                           .lastEventId = order.lastEventId,
-                                                           .fetchFrom = order.fetchFrom,
+                                                           .server = action.server,
+                                                           .workspace = action.workspace,
+                                                           .rank = action.rank,
+                                                           .remaining = action.remaining,
+                                                           .lastEventId = action.lastEventId,
+                                                           .fetchFrom = action.fetchFrom,
                                                        });
     for (const auto &header : encoded) {
         evhttp_add_header(headers, header.name.c_str(), header.value.c_str());
     }
-    evbuffer_add(evhttp_request_get_output_buffer(request), payload.body.data(), payload.body.size());
-    return evhttp_make_request(attempt.connection->raw.get(), request, payload.method, payload.target.c_str()) == 0;
+    evbuffer_add(evhttp_request_get_output_buffer(request), message.body.data(), message.body.size());
+    return evhttp_make_request(attempt.connection->raw.get(), request, message.method, message.target.c_str()) == 0;
 }
 
-auto Upstream::Impl::takeHead(Attempt &attempt, evhttp_request *request) -> void
-{
-    attempt.headSeen = true;
-    attempt.whole.status = evhttp_request_get_response_code(request);
-    attempt.whole.headers = http::readHeaders(evhttp_request_get_input_headers(request));
-    attempt.head = adapter::decodeAnswerHead(attempt.whole.status, attempt.whole.headers, attempt.callerId);
-    attempt.verdict = judgeHead(attempt);
-    attempt.relays = attempt.isStream && isSuccess(attempt.whole.status) && !attempt.verdict;
-    attempt.silentBy = boundAfter(attempt.silence);
-    if (saysLimit(attempt)) {
-        callbacks.onLimit(attempt.id, attempt.head.perSecond);
+auto Upstream::Impl::handleHead(Attempt &attempt, evhttp_request *request) -> void
+{
+    attempt.headReceived = true;
+    attempt.response.status = evhttp_request_get_response_code(request);
+    attempt.response.headers = http::readHeaders(evhttp_request_get_input_headers(request));
+    attempt.head = adapter::decodeAnswerHead(attempt.response.status, attempt.response.headers, attempt.callerId);
+    attempt.rejection = checkResponseHead(attempt);
+    attempt.isRelayed = attempt.isStream && isSuccess(attempt.response.status) && !attempt.rejection;
+    attempt.progressDeadline = deadlineAfter(attempt.progressTimeout);
+    if (carriesRateLimit(attempt)) {
+        callbacks.onRateLimit(attempt.id, attempt.head.perSecond);
     }
-    if (!attempt.relays && !attempt.verdict) {
+    if (!attempt.isRelayed && !attempt.rejection) {
         callbacks.onStarted(attempt.id, false);
     }
 }
 
-auto Upstream::Impl::takeBody(Attempt &attempt, evhttp_request *request) -> void
+auto Upstream::Impl::handleBody(Attempt &attempt, evhttp_request *request) -> void
 {
-    auto bytes = takeBytes(evhttp_request_get_input_buffer(request));
-    if (attempt.verdict) {
+    auto bytes = drainBuffer(evhttp_request_get_input_buffer(request));
+    if (attempt.rejection) {
         return;
     }
-    if (!attempt.relays) {
-        attempt.whole.body += bytes;
+    if (!attempt.isRelayed) {
+        attempt.response.body += bytes;
         return;
     }
     const auto id = attempt.id;
     relay(attempt, attempt.splitter.feed(bytes));
-    const auto known = attempts.find(id); // relaying may find that the caller has gone, which ends the attempt
-    if (known != attempts.end() && known->second->splitter.isTooLong()) {
-        fail(*known->second, Failure::BadResponse);
+    const auto openAttempt = attempts.find(id); // relaying may detect that the caller has disconnected, which erases the attempt
+    if (openAttempt != attempts.end() && openAttempt->second->splitter.exceedsLimit()) {
+        fail(*openAttempt->second, Failure::BadResponse);
     }
 }
 
@@ -285,44 +287,44 @@
     if (events.empty()) {
         return;
     }
-    attempt.silentBy = boundAfter(attempt.silence);
-    if (!std::exchange(attempt.relayed, true)) {
+    attempt.progressDeadline = deadlineAfter(attempt.progressTimeout);
+    if (!std::exchange(attempt.relayStarted, true)) {
         callbacks.onStarted(attempt.id, true);
-        callbacks.onStreamBegun(attempt.id, attempt.whole.status, adapter::encodeAnswerHeaders(attempt.whole.headers));
+        callbacks.onStreamStarted(attempt.id, attempt.response.status, adapter::encodeAnswerHeaders(attempt.response.headers));
     }
     callbacks.onEvents(attempt.id, events);
 }
 
-auto Upstream::Impl::takeDone(AttemptId id, evhttp_request *request) -> void
+auto Upstream::Impl::handleDone(AttemptId id, evhttp_request *request) -> void
 {
     const auto found = attempts.find(id);
-    if (found == attempts.end() || found->second->over) {
+    if (found == attempts.end() || found->second->ignoresCallbacks) {
         return;
     }
     auto &attempt = *found->second;
     if (request == nullptr || evhttp_request_get_response_code(request) == 0) {
-        fail(attempt, attempt.verdict.value_or(failureOfBreak(attempt)));
+        fail(attempt, attempt.rejection.value_or(disconnectFailure(attempt)));
         return;
     }
-    if (attempt.verdict) {
-        fail(attempt, *attempt.verdict);
+    if (attempt.rejection) {
+        fail(attempt, *attempt.rejection);
         return;
     }
-    takeEnd(attempt);
+    completeAttempt(attempt);
 }
 
-auto Upstream::Impl::takeEnd(Attempt &attempt) -> void
+auto Upstream::Impl::completeAttempt(Attempt &attempt) -> void
 {
     const auto id = attempt.id;
-    if (!attempt.relays || !attempt.relayed) {
-        attempt.whole.body += attempt.splitter.takeRest();
-        attempt.whole.headers = adapter::encodeAnswerHeaders(attempt.whole.headers);
-        auto answer = std::move(attempt.whole);
+    if (!attempt.isRelayed || !attempt.relayStarted) {
+        attempt.response.body += attempt.splitter.takeRemainder();
+        attempt.response.headers = adapter::encodeAnswerHeaders(attempt.response.headers);
+        auto response = std::move(attempt.response);
         close(attempt, true);
-        callbacks.onAnswer(id, std::move(answer));
+        callbacks.onResponse(id, std::move(response));
         return;
     }
-    const auto rest = attempt.splitter.takeRest();
+    const auto rest = attempt.splitter.takeRemainder();
     close(attempt, true);
     if (!rest.empty()) {
         callbacks.onEvents(id, rest);
@@ -330,12 +332,12 @@
     callbacks.onStreamEnded(id);
 }
 
-auto Upstream::Impl::failureOfBreak(const Attempt &attempt) const -> Failure
+auto Upstream::Impl::disconnectFailure(const Attempt &attempt) const -> Failure
 {
     if (attempt.connection && !attempt.connection->hasSent) {
         return Failure::ConnectFailed;
     }
-    return attempt.headSeen ? Failure::BrokenStream : Failure::BrokenBeforeFirstByte;
+    return attempt.headReceived ? Failure::BrokenStream : Failure::BrokenBeforeFirstByte;
 }
 
 auto Upstream::Impl::fail(Attempt &attempt, Failure failure) -> void
@@ -343,27 +345,27 @@
     const auto id = attempt.id;
     const AttemptFailure report{
         .failure = failure,
-        .status = attempt.whole.status,
-        .relayed = attempt.relayed,
+        .status = attempt.response.status,
+        .relayStarted = attempt.relayStarted,
         .lastEventId = attempt.splitter.lastEventId(),
     };
-    // a whole refusal leaves the connection in order
+    // after a complete refusal the connection can be reused
     close(attempt, failure == Failure::NotStarted || failure == Failure::WrongServer);
     callbacks.onFailed(id, report);
 }
 
-/// Failure: bytes follow a complete answer, or an answer came before its request was sent to the end. Symptom: the next
-/// request on the connection gets them as its answer, or the server reads a request where the rest of a body is due. A
-/// connection is kept only if nothing is left in either direction.
+/// Ends the attempt and keeps its connection for reuse if \p mayKeep and if no bytes are left in either direction. Bytes after a
+/// complete response would be taken for the response to the next request on the connection. After a response that came before
+/// its request was sent completely, the server would read the next request as the rest of the body.
 auto Upstream::Impl::close(Attempt &attempt, bool mayKeep) -> void
 {
-    attempt.over = true;
+    attempt.ignoresCallbacks = true;
     auto connection = std::move(attempt.connection);
     if (connection) {
         auto *transport = transportOf(*connection);
         const auto isClean = evbuffer_get_length(bufferevent_get_input(transport)) == 0 && evbuffer_get_length(bufferevent_get_output(transport)) == 0;
         connection->idleTime = attempt.head.idleTime;
-        if (mayKeep && isClean && !attempt.head.closes && attempt.headSeen) {
+        if (mayKeep && isClean && !attempt.head.closes && attempt.headReceived) {
             pool.keep(std::move(connection));
         } else {
             pool.retire(std::move(connection));
@@ -380,31 +382,31 @@
 Upstream::~Upstream()
 {
     for (auto &[id, attempt] : impl_->attempts) {
-        attempt->over = true;
+        attempt->ignoresCallbacks = true;
     }
 }
 
-auto Upstream::send(const passthrough::Send &order, const PayloadPointer &payload, const std::string &callerId) -> void
+auto Upstream::send(const passthrough::Send &action, const BufferedRequestPointer &message, const std::string &callerId) -> void
 {
     auto &impl = *impl_;
-    auto &slot = impl.attempts[order.attempt];
+    auto &slot = impl.attempts[action.attempt];
     slot = std::make_unique<Attempt>();
     auto &attempt = *slot;
-    attempt.id = order.attempt;
+    attempt.id = action.attempt;
     attempt.callerId = callerId;
-    attempt.server = order.server;
-    attempt.isStream = order.isStream;
-    attempt.connectBy = now() + ConnectTimeout;
-    attempt.startBy = boundAfter(order.startTimeout);
-    attempt.silence = order.silenceTimeout;
-    attempt.over = true; // while it starts: a connect that fails at once calls back from within
-    const auto started = impl.start(attempt, order, *payload);
-    attempt.over = false;
+    attempt.server = action.server;
+    attempt.isStream = action.isStream;
+    attempt.connectDeadline = now() + ConnectTimeout;
+    attempt.firstByteDeadline = deadlineAfter(action.startTimeout);
+    attempt.progressTimeout = action.silenceTimeout;
+    attempt.ignoresCallbacks = true; // while it starts: a connect that fails immediately calls back from within start()
+    const auto started = impl.start(attempt, action, *message);
+    attempt.ignoresCallbacks = false;
     const auto isOpen = started && attempt.connection && bufferevent_getfd(transportOf(*attempt.connection)) >= 0;
     if (!isOpen) {
-        impl.stillborn.push_back(order.attempt);
-        impl.stillbornTimer = impl.loop.after(Duration::zero(), [&impl]() {
-            for (const auto id : std::exchange(impl.stillborn, {})) {
+        impl.failedStarts.push_back(action.attempt);
+        impl.failedStartsTimer = impl.loop.after(Duration::zero(), [&impl]() {
+            for (const auto id : std::exchange(impl.failedStarts, {})) {
                 const auto found = impl.attempts.find(id);
                 if (found != impl.attempts.end()) {
                     impl.fail(*found->second, Failure::ConnectFailed);
@@ -422,36 +424,36 @@
     }
 }
 
-auto Upstream::sweep(TimePoint now) -> void
+auto Upstream::failOverdueAttempts(TimePoint now) -> void
 {
-    std::vector<std::pair<AttemptId, Failure>> late;
+    std::vector<std::pair<AttemptId, Failure>> overdue;
     for (const auto &[id, attempt] : impl_->attempts) {
         const auto isConnecting = attempt->connection && !attempt->connection->hasSent;
-        const auto isPast = [now](TimePoint bound) { return bound != TimePoint() && now >= bound; };
-        if (isConnecting && isPast(attempt->connectBy)) {
-            late.emplace_back(id, Failure::ConnectFailed);
-        } else if (!attempt->headSeen && isPast(attempt->startBy)) {
-            late.emplace_back(id, Failure::FirstTokenTimeout);
-        } else if (attempt->headSeen && isPast(attempt->silentBy)) {
-            late.emplace_back(id, Failure::ProgressTimeout);
+        const auto hasPassed = [now](TimePoint bound) { return bound != TimePoint() && now >= bound; };
+        if (isConnecting && hasPassed(attempt->connectDeadline)) {
+            overdue.emplace_back(id, Failure::ConnectFailed);
+        } else if (!attempt->headReceived && hasPassed(attempt->firstByteDeadline)) {
+            overdue.emplace_back(id, Failure::FirstTokenTimeout);
+        } else if (attempt->headReceived && hasPassed(attempt->progressDeadline)) {
+            overdue.emplace_back(id, Failure::ProgressTimeout);
         }
     }
-    for (const auto &[id, failure] : late) {
+    for (const auto &[id, failure] : overdue) {
         const auto found = impl_->attempts.find(id);
         if (found != impl_->attempts.end()) {
-            //! NOTE what struck one connection may have struck the idle ones to the same server
+            //! NOTE the cause of the timeout may affect the idle connections to the same server as well
             impl_->pool.closeIdle(found->second->server);
             impl_->fail(*found->second, failure);
         }
     }
 }
 
-auto Upstream::closeIdle(const std::string &server) -> void
+auto Upstream::closeIdleConnections(const std::string &server) -> void
 {
     impl_->pool.closeIdle(server);
 }
 
-auto Upstream::attempts() const -> std::size_t
+auto Upstream::openAttempts() const -> std::size_t
 {
     return impl_->attempts.size();
 }
--- a/src/gateway/upstream.h
+++ b/src/gateway/upstream.h
@@ -1,5 +1,5 @@
 /// \file
-/// The backend servers' side: runs attempts and judges their answers.
+/// HTTP client for backend servers: sends attempts and validates their responses.
 
 #pragma once
 
@@ -20,19 +20,20 @@
 
 struct AttemptFailure {
     Failure failure{};
-    int status = 0;       ///< of the answer, if its head was received
-    bool relayed = false; ///< events of this attempt were relayed
-    std::string lastEventId;
+    int status = 0;            ///< HTTP status of the response; 0 if no response head was received
+    bool relayStarted = false; ///< some events of the response were relayed
+    std::string lastEventId;   ///< id of the last complete event; empty if there was none
 };
 
 struct UpstreamCallbacks {
-    std::function<void(AttemptId attempt, bool goesToCaller)> onStarted; ///< head of an answer, or first event of a stream that is passed on
-    /// With the head of an answer that says so: requests a second that the server takes from all entries; not set: any.
-    std::function<void(AttemptId attempt, std::optional<double> perSecond)> onLimit;
-    std::function<void(AttemptId attempt, int status, const http::Headers &headers)> onStreamBegun; ///< right before its first events
+    /// The response head was received or, for a relayed stream, its first event. \p goesToCaller: the response is a relayed stream.
+    std::function<void(AttemptId attempt, bool goesToCaller)> onStarted;
+    /// The response head states the rate limit of the server in requests per second, summed over all entries; not set: no limit.
+    std::function<void(AttemptId attempt, std::optional<double> perSecond)> onRateLimit;
+    std::function<void(AttemptId attempt, int status, const http::Headers &headers)> onStreamStarted; ///< called right before the first onEvents
     std::function<void(AttemptId attempt, std::string_view events)> onEvents;
     std::function<void(AttemptId attempt)> onStreamEnded;
-    std::function<void(AttemptId attempt, WholeAnswer answer)> onAnswer;
+    std::function<void(AttemptId attempt, BufferedResponse response)> onResponse;
     std::function<void(AttemptId attempt, const AttemptFailure &failure)> onFailed;
 };
 
@@ -44,16 +45,17 @@
     Upstream(const Upstream &) = delete;
     auto operator=(const Upstream &) -> Upstream & = delete;
 
-    /// Reports by the callbacks, never from within this call. \p callerId: that the answer must name.
-    auto send(const passthrough::Send &order, const PayloadPointer &payload, const std::string &callerId) -> void;
-    /// Closes the attempt's connection; nothing more is reported of it.
+    /// Sends an attempt. Its result is reported through the callbacks, never from within this call. \p callerId: attempt id given
+    /// by the caller, which the response must repeat.
+    auto send(const passthrough::Send &action, const BufferedRequestPointer &message, const std::string &callerId) -> void;
+    /// Closes the attempt's connection. No further callback is called for the attempt.
     auto cancel(AttemptId attempt) -> void;
-    /// Fails attempts that are overdue.
-    auto sweep(TimePoint now) -> void;
-    /// Closes the idle connections to a server that has gone.
-    auto closeIdle(const std::string &server) -> void;
+    /// Fails the attempts that have exceeded their connect, first byte or progress timeout.
+    auto failOverdueAttempts(TimePoint now) -> void;
+    /// Closes the idle connections to a server, for one that was removed from the directory.
+    auto closeIdleConnections(const std::string &server) -> void;
 
-    [[nodiscard]] auto attempts() const -> std::size_t;
+    [[nodiscard]] auto openAttempts() const -> std::size_t;
 
 private:
     class Impl;
