--- a/src/core/ordering/ordering.cpp
+++ b/src/core/ordering/ordering.cpp
@@ -16,34 +16,35 @@
 using passthrough::Scaling;
 using passthrough::Server;
 
-/// Part of a server's places that are taken where the service has enough of them.
-constexpr double TargetUse = 0.6;
-/// Prompts that wait are read within this time where the service has enough servers.
-constexpr double TargetReadingMs = 150;
-/// Preemptible servers that cost more than this part of the others are not worth the streams that they cut.
-constexpr double MostPreemptiblePrice = 0.6;
-/// After none were to be had.
-constexpr Duration UnavailablePause = std::chrono::seconds(2);
-/// Between two orders of one kind in one failure domain.
-constexpr Duration OrderPause = std::chrono::milliseconds(1500);
-/// Besides the start of a server until what was ordered must be seen: its registration, and the drain of one that leaves.
+/// Target utilisation: fraction of the servers' slots that are in use when the service has enough servers.
+constexpr double TargetUtilization = 0.6;
+/// Time in which the waiting prompts are read when the service has enough servers.
+constexpr double TargetPrefillMs = 150;
+/// Greatest price of a preemptible server, relative to an on-demand one, at which it is worth the streams that its preemption breaks.
+constexpr double MaxPreemptiblePrice = 0.6;
+/// Backoff after an order failed because no servers were available.
+constexpr Duration UnavailableBackoff = std::chrono::seconds(2);
+/// Shortest time between two orders of one kind in one failure domain.
+constexpr Duration MinOrderInterval = std::chrono::milliseconds(1500);
+/// Time after which ordered changes must be visible, in addition to the start time of a server: covers its registration, and the draining of
+/// a server that leaves.
 constexpr Duration SettleTime = std::chrono::seconds(5);
-/// Servers that fill a gap are kept for this long after it was seen last: the gap may come back.
-constexpr Duration GapMemory = std::chrono::seconds(4);
+/// Time for which gap-filling servers are kept after the gap was last seen, since it may reappear.
+constexpr Duration GapRetention = std::chrono::seconds(4);
 
 constexpr auto Kinds = std::to_array<NamedValue<Kind>>({
     { Kind::OnDemand, "on-demand" },
     { Kind::Preemptible, "preemptible" },
 });
 
-struct Counted {
+struct ServerCount {
     std::uint32_t live = 0;    ///< neither leaving nor gone
-    std::uint32_t present = 0; ///< leaving ones too
+    std::uint32_t present = 0; ///< including servers that are leaving
 };
 
-auto countServers(const std::vector<Server> &servers, const std::string &domain, Kind kind) -> Counted
+auto countServers(const std::vector<Server> &servers, const std::string &domain, Kind kind) -> ServerCount
 {
-    Counted counted;
+    ServerCount counted;
     for (const auto &server : servers) {
         const auto isCounted = server.failureDomain == domain && server.isPreemptible == (kind == Kind::Preemptible);
         counted.present += isCounted ? 1 : 0;
@@ -52,7 +53,7 @@
     return counted;
 }
 
-/// Cheapest first.
+/// Failure domains by price, the cheapest first.
 auto domainsByPrice(const Scaling &scaling) -> std::vector<std::string>
 {
     std::vector<std::pair<double, std::string>> priced;
@@ -68,11 +69,11 @@
     return domains;
 }
 
-/// The orders of one service.
+/// Computes the orders of one service.
 class Planner
 {
 public:
-    Planner(State &state, const Situation &situation, TimePoint now)
+    Planner(State &state, const ServiceSituation &situation, TimePoint now)
         : state_(state)
         , situation_(situation)
         , now_(now)
@@ -83,118 +84,119 @@
     {
         const auto domains = domainsByPrice(situation_.scaling);
         for (const auto &domain : domains) {
-            noteFound(domain);
+            recordInitialServers(domain);
         }
-        auto extra = extraServers(domains);
+        auto gapServers = neededGapServers(domains);
         for (const auto &domain : domains) {
-            planDomain(domain, extra);
+            planDomain(domain, gapServers);
         }
         return std::move(orders_);
     }
 
 private:
-    [[nodiscard]] auto count(const std::string &domain, Kind kind) const -> Counted
+    [[nodiscard]] auto count(const std::string &domain, Kind kind) const -> ServerCount
     {
         return countServers(situation_.servers, domain, kind);
     }
 
-    [[nodiscard]] auto lastOrder(const std::string &domain, Kind kind) const -> const State::Ordered *
+    [[nodiscard]] auto lastOrder(const std::string &domain, Kind kind) const -> const State::LastOrder *
     {
-        const auto found = state_.ordered.find({ situation_.service, domain, kind });
-        return found == state_.ordered.end() ? nullptr : &found->second;
+        const auto found = state_.lastOrders.find({ situation_.service, domain, kind });
+        return found == state_.lastOrders.end() ? nullptr : &found->second;
     }
 
     [[nodiscard]] auto usesPreemptible() const -> bool
     {
-        return situation_.scaling.preemptiblePrice <= MostPreemptiblePrice;
+        return situation_.scaling.preemptiblePrice <= MaxPreemptiblePrice;
     }
 
-    /// What stands there before the first order counts as asked for by operators; servers register one after the other.
-    auto noteFound(const std::string &domain) -> void
+    /// Records the on-demand servers that exist before the first order, which count as requested by operators. They register one after another,
+    /// so the maximum is kept.
+    auto recordInitialServers(const std::string &domain) -> void
     {
         if (lastOrder(domain, Kind::OnDemand) == nullptr) {
-            auto &found = state_.found[{ situation_.service, domain }];
+            auto &found = state_.initialServers[{ situation_.service, domain }];
             found = std::max(found, count(domain, Kind::OnDemand).live);
         }
     }
 
-    /// Servers on demand that stay until preemptible ones take their place.
-    [[nodiscard]] auto baseOf(const std::string &domain) const -> std::uint32_t
+    /// Initial on-demand servers that preemptible ones have not replaced yet.
+    [[nodiscard]] auto baseServers(const std::string &domain) const -> std::uint32_t
     {
-        const auto found = state_.found.at({ situation_.service, domain });
+        const auto found = state_.initialServers.at({ situation_.service, domain });
         return usesPreemptible() ? found - std::min(found, count(domain, Kind::Preemptible).live) : found;
     }
 
-    /// Servers that the load needs beside the preemptible ones and those that stay. What fills the gap is no part of this sum, so that it
-    /// does not close the gap in which it is needed.
-    auto extraServers(const std::vector<std::string> &domains) -> std::uint32_t
+    /// On-demand servers that the load needs in addition to the preemptible and the base servers. The gap-filling servers themselves are not
+    /// counted, or they would close the gap that requires them.
+    auto neededGapServers(const std::vector<std::string> &domains) -> std::uint32_t
     {
-        std::uint32_t standing = 0;
+        std::uint32_t existing = 0;
         for (const auto &domain : domains) {
-            standing += count(domain, Kind::Preemptible).live + baseOf(domain);
+            existing += count(domain, Kind::Preemptible).live + baseServers(domain);
         }
         const auto needed = static_cast<std::uint32_t>(std::ceil(situation_.neededServers));
-        auto &extra = state_.extra[situation_.service];
-        if (needed > standing) {
-            extra.servers = std::max(extra.servers, needed - standing);
-            extra.neededAt = now_;
-        } else if (now_ - extra.neededAt >= GapMemory) {
-            extra.servers = 0;
+        auto &gapServers = state_.gapServers[situation_.service];
+        if (needed > existing) {
+            gapServers.servers = std::max(gapServers.servers, needed - existing);
+            gapServers.neededAt = now_;
+        } else if (now_ - gapServers.neededAt >= GapRetention) {
+            gapServers.servers = 0;
         }
-        return extra.servers;
+        return gapServers.servers;
     }
 
-    auto planDomain(const std::string &domain, std::uint32_t &extra) -> void
+    auto planDomain(const std::string &domain, std::uint32_t &gapServers) -> void
     {
-        const auto most = situation_.scaling.most;
+        const auto maxServers = situation_.scaling.most;
         const auto onDemand = count(domain, Kind::OnDemand);
         const auto preemptible = count(domain, Kind::Preemptible);
-        const auto base = std::min(baseOf(domain), most);
-        const auto roomForExtra = most - std::min(most, base + preemptible.present);
-        const auto added = std::min(extra, roomForExtra);
-        extra -= added;
+        const auto base = std::min(baseServers(domain), maxServers);
+        const auto roomForGapServers = maxServers - std::min(maxServers, base + preemptible.present);
+        const auto added = std::min(gapServers, roomForGapServers);
+        gapServers -= added;
         orderOnDemand(domain, base + added, onDemand.live);
         if (usesPreemptible()) {
-            orderPreemptible(domain, preemptible.live, most - std::min(most, onDemand.present));
+            orderPreemptible(domain, preemptible.live, maxServers - std::min(maxServers, onDemand.present));
         }
     }
 
-    auto orderOnDemand(const std::string &domain, std::uint32_t wanted, std::uint32_t live) -> void
+    auto orderOnDemand(const std::string &domain, std::uint32_t target, std::uint32_t live) -> void
     {
         const auto *last = lastOrder(domain, Kind::OnDemand);
-        const auto known = last == nullptr ? live : last->count;
-        const auto isMissing = last != nullptr && live != wanted && now_ - last->at >= situation_.scaling.startTime + SettleTime;
-        const auto isPaused = last != nullptr && now_ - last->at < OrderPause;
-        if ((wanted != known && !isPaused) || isMissing) {
-            order({ .service = situation_.service, .failureDomain = domain, .kind = Kind::OnDemand, .count = wanted }, wanted);
+        const auto ordered = last == nullptr ? live : last->count;
+        const auto isOverdue = last != nullptr && live != target && now_ - last->at >= situation_.scaling.startTime + SettleTime;
+        const auto isTooSoon = last != nullptr && now_ - last->at < MinOrderInterval;
+        if ((target != ordered && !isTooSoon) || isOverdue) {
+            order({ .service = situation_.service, .failureDomain = domain, .kind = Kind::OnDemand, .count = target }, target);
         }
     }
 
-    /// The bound is ordered at once, and again when servers of the other kind have made room.
-    auto orderPreemptible(const std::string &domain, std::uint32_t live, std::uint32_t room) -> void
+    /// Orders as many servers as the bound allows, and orders again when servers of the other kind have left capacity.
+    auto orderPreemptible(const std::string &domain, std::uint32_t live, std::uint32_t capacity) -> void
     {
         const auto unavailable = state_.unavailableUntil.find({ situation_.service, domain, Kind::Preemptible });
         const auto isAvailable = unavailable == state_.unavailableUntil.end() || now_ >= unavailable->second;
-        const auto most = situation_.scaling.most;
-        if (live >= most || room == 0 || !isAvailable) {
+        const auto maxServers = situation_.scaling.most;
+        if (live >= maxServers || capacity == 0 || !isAvailable) {
             return;
         }
         const auto *last = lastOrder(domain, Kind::Preemptible);
-        const auto hasMoreRoom = last != nullptr && room > last->room && now_ - last->at >= OrderPause;
-        const auto isMissing = last != nullptr && live < room && now_ - last->at >= situation_.scaling.startTime + SettleTime;
-        if (last == nullptr || hasMoreRoom || isMissing) {
-            order({ .service = situation_.service, .failureDomain = domain, .kind = Kind::Preemptible, .count = room }, room);
+        const auto hasMoreCapacity = last != nullptr && capacity > last->capacity && now_ - last->at >= MinOrderInterval;
+        const auto isOverdue = last != nullptr && live < capacity && now_ - last->at >= situation_.scaling.startTime + SettleTime;
+        if (last == nullptr || hasMoreCapacity || isOverdue) {
+            order({ .service = situation_.service, .failureDomain = domain, .kind = Kind::Preemptible, .count = capacity }, capacity);
         }
     }
 
-    auto order(const Order &order, std::uint32_t room) -> void
+    auto order(const Order &order, std::uint32_t capacity) -> void
     {
-        state_.ordered[{ order.service, order.failureDomain, order.kind }] = { .count = order.count, .room = room, .at = now_ };
+        state_.lastOrders[{ order.service, order.failureDomain, order.kind }] = { .count = order.count, .capacity = capacity, .at = now_ };
         orders_.push_back(order);
     }
 
     State &state_;
-    const Situation &situation_;
+    const ServiceSituation &situation_;
     TimePoint now_;
     std::vector<Order> orders_;
 };
@@ -212,22 +214,22 @@
         return 0;
     }
     const auto slotsEach = static_cast<double>(load.slots) / load.servers;
-    const auto byPlaces = load.requests / (slotsEach * TargetUse);
-    const auto byReading = static_cast<double>(load.unreadTokens) / (load.tokensPerMs * TargetReadingMs);
-    return std::max(byPlaces, byReading);
+    const auto neededForSlots = load.requests / (slotsEach * TargetUtilization);
+    const auto neededForPrefill = static_cast<double>(load.unreadTokens) / (load.tokensPerMs * TargetPrefillMs);
+    return std::max(neededForSlots, neededForPrefill);
 }
 
-auto plan(State &state, const Situation &situation, TimePoint now) -> std::vector<Order>
+auto plan(State &state, const ServiceSituation &situation, TimePoint now) -> std::vector<Order>
 {
     return Planner(state, situation, now).plan();
 }
 
-auto noteOutcome(State &state, const Order &order, OrderOutcome outcome, TimePoint now) -> void
+auto recordOutcome(State &state, const Order &order, OrderOutcome outcome, TimePoint now) -> void
 {
     if (outcome == OrderOutcome::Unavailable) {
         const auto key = State::Key(order.service, order.failureDomain, order.kind);
-        state.ordered.erase(key);
-        state.unavailableUntil[key] = now + UnavailablePause;
+        state.lastOrders.erase(key);
+        state.unavailableUntil[key] = now + UnavailableBackoff;
     }
 }
 
--- a/src/core/ordering/tests/ordering_tests.cpp
+++ b/src/core/ordering/tests/ordering_tests.cpp
@@ -14,7 +14,7 @@
 
 constexpr TimePoint Now(1h);
 
-auto makeSituation() -> Situation
+auto makeSituation() -> ServiceSituation
 {
     return {
         .service = "engines",
@@ -22,7 +22,7 @@
     };
 }
 
-auto addServers(Situation &situation, const std::string &domain, Kind kind, int count, bool isLeaving = false) -> void
+auto addServers(ServiceSituation &situation, const std::string &domain, Kind kind, int count, bool isLeaving = false) -> void
 {
     for (auto i = 0; i < count; ++i) {
         situation.servers.push_back({
@@ -43,8 +43,8 @@
 
 } // namespace
 
-/// Guards against a fleet that sends its servers away before those that replace them are there.
-TEST(OrderingTests, preemptibleServersComeBeforeTheOthersGo)
+/// Guards against releasing servers before their replacements are running.
+TEST(OrderingTests, onDemandServersAreReleasedAfterPreemptibleOnesHaveStarted)
 {
     State state;
     auto situation = makeSituation();
@@ -59,7 +59,7 @@
     EXPECT_EQ(countOf(orders, "b", Kind::OnDemand), std::nullopt);
 }
 
-TEST(OrderingTests, whatIsOrderedIsOrderedOnce)
+TEST(OrderingTests, anOrderIsNotRepeatedWhileItIsPending)
 {
     State state;
     auto situation = makeSituation();
@@ -68,8 +68,8 @@
     EXPECT_TRUE(plan(state, situation, Now + 1s).empty());
 }
 
-/// Guards against an order that an earlier, late one replaced.
-TEST(OrderingTests, whatIsNotSeenInTimeIsOrderedAnew)
+/// Guards against losing an order that a delayed earlier order has overwritten.
+TEST(OrderingTests, anOrderIsRepeatedIfItsServersDoNotAppear)
 {
     State state;
     auto situation = makeSituation();
@@ -79,21 +79,21 @@
     EXPECT_EQ(countOf(plan(state, situation, Now + 10s), "a", Kind::Preemptible), 3U);
 }
 
-/// Guards against orders again and again in a failure domain that has none to give.
-TEST(OrderingTests, aFailureDomainThatHasNoneIsLeftInPeaceForAWhile)
+/// Guards against continual orders in a failure domain that has no servers available.
+TEST(OrderingTests, aFailureDomainWithoutAvailableServersIsRetriedAfterABackoff)
 {
     State state;
     auto situation = makeSituation();
     addServers(situation, "b", Kind::Preemptible, 6);
     const auto order = plan(state, situation, Now).front();
     EXPECT_EQ(order.failureDomain, "a");
-    noteOutcome(state, order, OrderOutcome::Unavailable, Now);
+    recordOutcome(state, order, OrderOutcome::Unavailable, Now);
     EXPECT_EQ(countOf(plan(state, situation, Now + 1s), "a", Kind::Preemptible), std::nullopt);
     EXPECT_EQ(countOf(plan(state, situation, Now + 3s), "a", Kind::Preemptible), 6U);
 }
 
-/// Guards against a burst that meets a failure domain whose servers have just been taken away.
-TEST(OrderingTests, serversOnDemandFillAGapAndStayForAWhile)
+/// Guards against a burst that arrives while all servers of a failure domain have been preempted.
+TEST(OrderingTests, onDemandServersFillAGapAndAreRetainedForAWhile)
 {
     State state;
     auto situation = makeSituation();
@@ -102,13 +102,13 @@
     situation.neededServers = 6;
     EXPECT_EQ(countOf(plan(state, situation, Now), "b", Kind::OnDemand), 2U);
     addServers(situation, "b", Kind::OnDemand, 2);
-    EXPECT_EQ(countOf(plan(state, situation, Now + 3s), "b", Kind::OnDemand), std::nullopt) << "they don't close the gap that they fill";
+    EXPECT_EQ(countOf(plan(state, situation, Now + 3s), "b", Kind::OnDemand), std::nullopt) << "gap-filling servers are not counted against the gap";
     situation.neededServers = 1;
     EXPECT_EQ(countOf(plan(state, situation, Now + 5s), "b", Kind::OnDemand), std::nullopt);
     EXPECT_EQ(countOf(plan(state, situation, Now + 8s), "b", Kind::OnDemand), 0U);
 }
 
-TEST(OrderingTests, serversThatAreNotCheapEnoughAreNotPreempted)
+TEST(OrderingTests, preemptibleServersThatCostTooMuchAreNotOrdered)
 {
     State state;
     auto situation = makeSituation();
@@ -117,7 +117,7 @@
     EXPECT_TRUE(plan(state, situation, Now).empty());
 }
 
-TEST(OrderingTests, placesAndReadingAskForServers)
+TEST(OrderingTests, neededServersDependOnSlotsAndPrefill)
 {
     passthrough::ServiceLoad load{ .servers = 10, .slots = 160, .requests = 96, .tokensPerMs = 50 };
     EXPECT_DOUBLE_EQ(neededServers(load), 10);
--- a/src/gateway/duties.cpp
+++ b/src/gateway/duties.cpp
@@ -160,9 +160,9 @@
     }
 }
 
-auto Duties::situationOf(const passthrough::Service &service) const -> ordering::Situation
+auto Duties::situationOf(const passthrough::Service &service) const -> ordering::ServiceSituation
 {
-    ordering::Situation situation{ .service = service.name, .scaling = *service.scaling };
+    ordering::ServiceSituation situation{ .service = service.name, .scaling = *service.scaling };
     std::copy_if(known_.servers.begin(), known_.servers.end(), std::back_inserter(situation.servers), [&service](const passthrough::Server &server) {
         return server.service == service.name;
     });
--- a/src/gateway/duties.h
+++ b/src/gateway/duties.h
@@ -53,7 +53,7 @@
     auto beginTerm(std::uint64_t token) -> void;
     auto endTerm(std::uint64_t token, leadership::TermEnd reason) -> void;
     auto orderServers(std::uint64_t token) -> void;
-    [[nodiscard]] auto situationOf(const passthrough::Service &service) const -> ordering::Situation;
+    [[nodiscard]] auto situationOf(const passthrough::Service &service) const -> ordering::ServiceSituation;
 
     task::EventLoop &loop_;
     adapter::Duties duties_;
--- a/src/gateway/serverorders.cpp
+++ b/src/gateway/serverorders.cpp
@@ -22,7 +22,7 @@
     state_ = {};
 }
 
-auto ServerOrders::update(const ordering::Situation &situation, std::uint64_t token) -> void
+auto ServerOrders::update(const ordering::ServiceSituation &situation, std::uint64_t token) -> void
 {
     for (const auto &order : ordering::plan(state_, situation, now())) {
         send(order, token, situation.neededServers);
@@ -52,19 +52,19 @@
 {
     switch (outcome) {
     case DutyOutcome::Done:
-        ordering::noteOutcome(state_, order, ordering::OrderOutcome::Accepted, now());
+        ordering::recordOutcome(state_, order, ordering::OrderOutcome::Accepted, now());
         break;
     case DutyOutcome::Declined:
-        ordering::noteOutcome(state_, order, ordering::OrderOutcome::Unavailable, now());
+        ordering::recordOutcome(state_, order, ordering::OrderOutcome::Unavailable, now());
         if (order.kind == ordering::Kind::OnDemand) {
             callbacks_.onTokenRefused(token);
         }
         break;
     case DutyOutcome::Refused:
-        ordering::noteOutcome(state_, order, ordering::OrderOutcome::Unavailable, now());
+        ordering::recordOutcome(state_, order, ordering::OrderOutcome::Unavailable, now());
         break;
     case DutyOutcome::Unknown:
-        ordering::noteOutcome(state_, order, ordering::OrderOutcome::Unknown, now());
+        ordering::recordOutcome(state_, order, ordering::OrderOutcome::Unknown, now());
         break;
     }
 }
--- a/src/gateway/serverorders.h
+++ b/src/gateway/serverorders.h
@@ -33,7 +33,7 @@
 
     auto beginTerm() -> void;
     /// Orders what is due for this service.
-    auto update(const ordering::Situation &situation, std::uint64_t token) -> void;
+    auto update(const ordering::ServiceSituation &situation, std::uint64_t token) -> void;
 
     [[nodiscard]] auto calls() const -> std::uint64_t;
 
