--- a/src/apps/ctl/commands.cpp
+++ b/src/apps/ctl/commands.cpp
@@ -413,7 +413,7 @@
         }
         throw CommandError(ExitCode::Negative, "no reason is named " + context.invocation.argument + "; there are:" + names);
     }
-    const auto &entry = entryOf(*reason);
+    const auto &entry = reasonInfo(*reason);
     const auto value = json{ { "reason", entry.name }, { "status", entry.status }, { "retry_helps", entry.retryHelps }, { "explanation", entry.explanation } };
     const auto text = std::string(entry.name) + " (HTTP " + std::to_string(entry.status) + ", a later retry "
         + (entry.retryHelps ? "can help" : "does not help") + ")\n" + std::string(entry.explanation) + "\n";
--- a/src/core/base/ids.h
+++ b/src/core/base/ids.h
@@ -1,5 +1,5 @@
 /// \file
-/// Identifiers that the modules of one process share.
+/// Identifiers that are common to the modules of one process.
 
 #pragma once
 
@@ -8,13 +8,13 @@
 namespace auburnspread
 {
 
-/// One request of one caller, unique within an entry process.
+/// Identifies a request of a caller, unique within an entry process.
 enum class RequestId : std::uint64_t {};
 
-/// One try of a request on one backend server, unique within an entry process.
+/// Identifies one attempt of a request on a backend server, unique within an entry process.
 enum class AttemptId : std::uint64_t {};
 
-/// Hash of class, model and body: equal requests have equal fingerprints on every entry.
+/// Hash of the class, model and body of a request: equal requests have equal fingerprints on all entries.
 enum class Fingerprint : std::uint64_t {};
 
 } // namespace auburnspread
--- a/src/core/base/nametable.h
+++ b/src/core/base/nametable.h
@@ -17,7 +17,7 @@
     std::string_view name;
 };
 
-/// Name of \p value in \p table; "?" if the table lacks it, which a module's tests must rule out.
+/// \return the name of \p value in \p table, or "?" if the table lacks it. The tests of each module must ensure that its tables are complete.
 template <typename Enum, std::size_t Size>
 constexpr auto findName(const std::array<NamedValue<Enum>, Size> &table, Enum value) -> std::string_view
 {
@@ -29,7 +29,7 @@
     return "?";
 }
 
-/// Value whose name is \p name, or nothing.
+/// \return the value whose name is \p name, or nothing if there is none
 template <typename Enum, std::size_t Size>
 constexpr auto findValue(const std::array<NamedValue<Enum>, Size> &table, std::string_view name) -> std::optional<Enum>
 {
@@ -41,7 +41,7 @@
     return std::nullopt;
 }
 
-/// The names of \p table, in its order.
+/// \return the names in \p table, in the same order
 template <typename Enum, std::size_t Size>
 constexpr auto namesOf(const std::array<NamedValue<Enum>, Size> &table) -> std::array<std::string_view, Size>
 {
--- a/src/core/base/pendingcall.h
+++ b/src/core/base/pendingcall.h
@@ -1,5 +1,5 @@
 /// \file
-/// The one call of a core that is under way: answers to earlier ones change nothing.
+/// Tracks the single call that a decision core has in flight, so that late answers to earlier calls are ignored.
 
 #pragma once
 
@@ -10,9 +10,10 @@
 
 struct PendingCall {
     std::uint64_t last = 0;    ///< number of the latest call
-    std::uint64_t awaited = 0; ///< number of the call whose answer counts; 0: none
+    std::uint64_t awaited = 0; ///< number of the call in flight; 0: none
 };
 
+/// Starts a call, which replaces the one in flight.
 /// \return the number of the new call
 inline auto beginCall(PendingCall &pending) -> std::uint64_t
 {
@@ -20,8 +21,9 @@
     return pending.awaited;
 }
 
-/// An answer came. \return whether it counts; there is no call under way then
-inline auto takeAnswer(PendingCall &pending, std::uint64_t call) -> bool
+/// Handles the answer to \p call.
+/// \return whether it belongs to the call in flight, which has then ended
+inline auto acceptAnswer(PendingCall &pending, std::uint64_t call) -> bool
 {
     if (call == 0 || call != pending.awaited) {
         return false;
@@ -30,13 +32,13 @@
     return true;
 }
 
-inline auto isUnderWay(const PendingCall &pending) -> bool
+inline auto isCallInFlight(const PendingCall &pending) -> bool
 {
     return pending.awaited != 0;
 }
 
-/// Its answer will not count.
-inline auto dropCall(PendingCall &pending) -> void
+/// Ends the call in flight; its answer will be ignored.
+inline auto cancelCall(PendingCall &pending) -> void
 {
     pending.awaited = 0;
 }
--- a/src/core/base/reason.cpp
+++ b/src/core/base/reason.cpp
@@ -21,7 +21,7 @@
 constexpr int UnavailableStatus = 503;
 constexpr int TimeoutStatus = 504;
 
-constexpr auto Reasons = std::to_array<ReasonEntry>({
+constexpr auto Reasons = std::to_array<ReasonInfo>({
     { Reason::BadRequest, "bad-request", BadRequestStatus, false, "The request is malformed; the detail names the field. The caller must change it." },
     { Reason::HeaderTooLarge, "header-too-large", BadRequestStatus, false, "The header block exceeds limits.header_bytes." },
     { Reason::BodyTooLarge, "body-too-large", TooLargeStatus, false, "The body exceeds limits.body_bytes." },
@@ -84,12 +84,12 @@
 
 } // namespace
 
-auto reasonTable() -> std::span<const ReasonEntry>
+auto reasonTable() -> std::span<const ReasonInfo>
 {
     return Reasons;
 }
 
-auto entryOf(Reason reason) -> const ReasonEntry &
+auto reasonInfo(Reason reason) -> const ReasonInfo &
 {
     return Reasons.at(static_cast<std::size_t>(reason));
 }
--- a/src/core/base/reason.h
+++ b/src/core/base/reason.h
@@ -1,6 +1,6 @@
 /// \file
-/// Why a request was refused, and what the caller may conclude from the refusal. The names are published:
-/// they stand in the Auburnspread-Reason header, in metrics, in logs and in `auburnspreadctl explain`.
+/// Reasons for refusing a request, and what the caller may conclude from the refusal. The names are published in the Auburnspread-Reason
+/// header, in metrics, in logs and in `auburnspreadctl explain`.
 
 #pragma once
 
@@ -12,10 +12,10 @@
 namespace auburnspread
 {
 
-/// What a refused caller may conclude.
+/// What the caller may conclude from a refusal.
 enum class Outcome {
-    NotRun,      ///< no byte of the request can have reached a backend server, or the server said it did not start it
-    MayHaveRun,  ///< a backend server may have executed the request, wholly or in part
+    NotRun,      ///< no byte of the request can have reached a backend server, or the server stated that it did not start the request
+    MayHaveRun,  ///< a backend server may have executed the request, completely or in part
     Quarantined, ///< the request is withheld because it crashed backend servers; it will not run
 };
 
@@ -54,17 +54,17 @@
     InternalError,
 };
 
-/// What the table holds of one reason.
-struct ReasonEntry {
+/// Published properties of a reason.
+struct ReasonInfo {
     Reason reason;
     std::string_view name;        ///< published name
     int status;                   ///< HTTP status of a refusal before the first byte
-    bool retryHelps;              ///< whether Retry-After is sent
+    bool retryHelps;              ///< whether a retry can succeed, so that Retry-After is sent
     std::string_view explanation; ///< one sentence for operators: the cause and what to do
 };
 
-auto reasonTable() -> std::span<const ReasonEntry>;
-auto entryOf(Reason reason) -> const ReasonEntry &;
+auto reasonTable() -> std::span<const ReasonInfo>;
+auto reasonInfo(Reason reason) -> const ReasonInfo &;
 auto reasonFromName(std::string_view name) -> std::optional<Reason>;
 
 auto outcomeName(Outcome outcome) -> std::string_view;
--- a/src/core/base/tests/findaction.h
+++ b/src/core/base/tests/findaction.h
@@ -1,5 +1,5 @@
 /// \file
-/// Looks into what a core wants done, for tests.
+/// Finds actions in the result of a decision core, for tests.
 
 #pragma once
 
@@ -10,7 +10,7 @@
 namespace auburnspread::tests
 {
 
-/// The first action of this type.
+/// \return the first action of type \p Wanted, if any
 template <typename Wanted, typename Action>
 auto findAction(const std::vector<Action> &actions) -> std::optional<Wanted>
 {
--- a/src/core/base/tests/reason_tests.cpp
+++ b/src/core/base/tests/reason_tests.cpp
@@ -9,14 +9,14 @@
 
 using namespace auburnspread;
 
-TEST(ReasonTests, everyReasonStandsAtItsOwnPlaceInTheTable)
+TEST(ReasonTests, reasonTableIsOrderedByEnumerator)
 {
-    std::size_t place = 0;
+    std::size_t index = 0;
     for (const auto &entry : reasonTable()) {
-        EXPECT_EQ(static_cast<std::size_t>(entry.reason), place);
-        ++place;
+        EXPECT_EQ(static_cast<std::size_t>(entry.reason), index);
+        ++index;
     }
-    EXPECT_EQ(place, static_cast<std::size_t>(Reason::InternalError) + 1);
+    EXPECT_EQ(index, static_cast<std::size_t>(Reason::InternalError) + 1);
 }
 
 TEST(ReasonTests, namesAreUniqueAndReadBack)
--- a/src/core/base/tests/recentcount_tests.cpp
+++ b/src/core/base/tests/recentcount_tests.cpp
@@ -18,8 +18,8 @@
 
 } // namespace
 
-/// Guards against a count that forgets: of a limit it would let more through.
-RC_GTEST_PROP(RecentCountTests, nothingWithinTheWindowIsForgottenAndNothingOlderThanAStepMoreCounts, (const std::vector<std::uint16_t> &pauses))
+/// Guards against a count that misses events, which would allow more requests than a limit.
+RC_GTEST_PROP(RecentCountTests, allEventsWithinTheWindowAndNoneOlderThanOneMoreStepAreCounted, (const std::vector<std::uint16_t> &pauses))
 {
     RecentCount count;
     std::vector<TimePoint> times;
@@ -28,11 +28,11 @@
         now += std::chrono::milliseconds(pause % 3000);
         addOne(count, now);
         times.push_back(now);
-        for (const Duration window : { Duration(std::chrono::seconds(1)), RecentCount::Longest }) {
+        for (const Duration window : { Duration(std::chrono::seconds(1)), RecentCount::MaxWindow }) {
             const auto counted = countWithin(count, window, now);
             RC_ASSERT(counted >= countBetween(times, now - window, now));
             RC_ASSERT(counted <= countBetween(times, now - window - RecentCount::Step, now));
         }
     }
-    RC_ASSERT(countWithin(count, RecentCount::Longest, now + std::chrono::seconds(5)) == 0U);
+    RC_ASSERT(countWithin(count, RecentCount::MaxWindow, now + std::chrono::seconds(5)) == 0U);
 }
--- a/src/core/base/time.h
+++ b/src/core/base/time.h
@@ -1,5 +1,5 @@
 /// \file
-/// Time as the decision core sees it: an argument, never a clock that is read.
+/// Time types of the decision cores, which receive the time as an argument and never read a clock.
 
 #pragma once
 
@@ -8,11 +8,11 @@
 namespace auburnspread
 {
 
-/// Microseconds: fine enough for token pacing, wide enough for any uptime.
+/// Microseconds are precise enough for token pacing, and 64 bits of them cover any uptime.
 using Duration = std::chrono::microseconds;
 
-/// The core's clock. It has no now(): the caller of the core passes the time in. A daemon passes its
-/// monotonic clock, a test passes whatever it wants.
+/// The clock type of the decision cores. It has no now(), since the code that calls a core passes the time: a daemon that of its monotonic
+/// clock, a test any time.
 struct CoreClock {
     using rep = Duration::rep;
     using period = Duration::period;
@@ -23,6 +23,7 @@
 
 using TimePoint = CoreClock::time_point;
 
+/// \return \p duration multiplied by \p factor, truncated to microseconds
 constexpr auto scaled(Duration duration, double factor) -> Duration
 {
     return std::chrono::duration_cast<Duration>(duration * factor);
--- a/src/core/leadership/leadership.cpp
+++ b/src/core/leadership/leadership.cpp
@@ -52,7 +52,7 @@
 
     auto operator()(const ClaimRead &event) -> void
     {
-        if (!takeAnswer(state_.pending, event.call)) {
+        if (!acceptAnswer(state_.pending, event.call)) {
             return;
         }
         state_.watchedFrom = std::max(state_.watchedFrom, event.storeRevision);
@@ -69,7 +69,7 @@
 
     auto operator()(const LeaseTaken &event) -> void
     {
-        if (!takeAnswer(state_.pending, event.call)) {
+        if (!acceptAnswer(state_.pending, event.call)) {
             return;
         }
         state_.lease = event.lease;
@@ -81,14 +81,14 @@
 
     auto operator()(const ClaimWritten &event) -> void
     {
-        if (takeAnswer(state_.pending, event.call)) {
+        if (acceptAnswer(state_.pending, event.call)) {
             lead(event.revision);
         }
     }
 
     auto operator()(const LeaseRenewed &event) -> void
     {
-        if (!takeAnswer(state_.pending, event.call)) {
+        if (!acceptAnswer(state_.pending, event.call)) {
             return;
         }
         state_.leaseUntil = state_.askedAt + state_.leaseLifetime;
@@ -97,7 +97,7 @@
 
     auto operator()(const CallFailed &event) -> void
     {
-        if (!takeAnswer(state_.pending, event.call)) {
+        if (!acceptAnswer(state_.pending, event.call)) {
             return;
         }
         switch (state_.phase) {
@@ -124,8 +124,8 @@
     {
         if (state_.phase == Phase::Leading) {
             tickLeading();
-        } else if (isUnderWay(state_.pending) && now_ - state_.askedAt > CallPatience) {
-            dropCall(state_.pending);
+        } else if (isCallInFlight(state_.pending) && now_ - state_.askedAt > CallPatience) {
+            cancelCall(state_.pending);
             idle(now_);
         }
         if (state_.phase == Phase::Idle && state_.isEligible && now_ >= state_.idleUntil) {
@@ -202,7 +202,7 @@
     {
         if (now_ >= leaseSafeUntil()) {
             stop(TermEnd::LeaseEnded);
-        } else if (!isUnderWay(state_.pending) && now_ >= state_.renewAt) {
+        } else if (!isCallInFlight(state_.pending) && now_ >= state_.renewAt) {
             actions_.emplace_back(RenewLease{ .call = await(), .lease = state_.lease });
         }
     }
@@ -221,7 +221,7 @@
 
     auto stop(TermEnd reason) -> void
     {
-        dropCall(state_.pending);
+        cancelCall(state_.pending);
         if (state_.phase == Phase::Leading) {
             actions_.emplace_back(TermEnded{ .token = std::exchange(state_.token, 0), .reason = reason });
             idle(now_ + state_.options.rest);
--- a/src/core/passthrough/internal/ending.cpp
+++ b/src/core/passthrough/internal/ending.cpp
@@ -197,13 +197,13 @@
 
 auto statusOfRefusal(Reason reason) -> int
 {
-    const auto status = entryOf(reason).status;
+    const auto status = reasonInfo(reason).status;
     return status >= FirstErrorStatus || reason == Reason::Quarantined ? UnavailableStatus : status;
 }
 
 auto retryAfterOf(RouterState &state, Reason reason) -> std::optional<Duration>
 {
-    if (!entryOf(reason).retryHelps) {
+    if (!reasonInfo(reason).retryHelps) {
         return std::nullopt;
     }
     // callers that were refused together must not come back together; a fault of one server is over sooner than a burst
--- a/src/core/passthrough/serverlimit.cpp
+++ b/src/core/passthrough/serverlimit.cpp
@@ -10,7 +10,7 @@
 {
 
 /// Window over which all entries together keep to the limit.
-constexpr Duration Window = RecentCount::Longest;
+constexpr Duration Window = RecentCount::MaxWindow;
 /// Window over which an entry keeps to its own share: longer than the delay of peer reports, even in a large fleet.
 constexpr Duration OwnShareWindow = std::chrono::seconds(1);
 
--- a/src/core/routing/internal/ending.cpp
+++ b/src/core/routing/internal/ending.cpp
@@ -15,7 +15,7 @@
 
 auto retryAfterOf(const Refusal &refusal) -> std::optional<Duration>
 {
-    if (!entryOf(refusal.reason).retryHelps) {
+    if (!reasonInfo(refusal.reason).retryHelps) {
         return std::nullopt;
     }
     return std::max(refusal.retryAfter.value_or(DefaultRetryAfter), DefaultRetryAfter);
--- a/src/core/routing/tests/session.cpp
+++ b/src/core/routing/tests/session.cpp
@@ -242,7 +242,7 @@
     }
     auto operator()(const Refuse &action) const -> std::string
     {
-        std::string line = "refuse " + digits(action.request) + " reason=" + std::string(entryOf(action.reason).name);
+        std::string line = "refuse " + digits(action.request) + " reason=" + std::string(reasonInfo(action.reason).name);
         line += " outcome=" + std::string(outcomeName(action.outcome)) + " step=" + action.step;
         line += action.peer.empty() ? "" : " peer=" + action.peer;
         return line + (action.retryAfter ? " retry-after=" + formatDuration(*action.retryAfter) : "");
--- a/src/core/usage/reporter.cpp
+++ b/src/core/usage/reporter.cpp
@@ -43,7 +43,7 @@
 
     auto operator()(const RecordRead &event) -> void
     {
-        if (takeAnswer(state_.pending, event.call)) {
+        if (acceptAnswer(state_.pending, event.call)) {
             state_.record = event.record;
             state_.revision = event.revision;
         }
@@ -51,7 +51,7 @@
 
     auto operator()(const RecordWritten &event) -> void
     {
-        if (takeAnswer(state_.pending, event.call)) {
+        if (acceptAnswer(state_.pending, event.call)) {
             state_.record = std::move(state_.proposed);
             state_.revision = event.revision;
         }
@@ -60,7 +60,7 @@
     /// A write that failed may have been executed, or be executed later: what is fixed is what the store shows.
     auto operator()(const RecordCallFailed &event) -> void
     {
-        if (takeAnswer(state_.pending, event.call)) {
+        if (acceptAnswer(state_.pending, event.call)) {
             state_.record.reset();
             state_.askAt = now_ + FailurePause;
         }
@@ -81,7 +81,7 @@
 
     auto operator()(const Tick &event) -> void
     {
-        if (!state_.token || isUnderWay(state_.pending)) {
+        if (!state_.token || isCallInFlight(state_.pending)) {
             return;
         }
         if (!state_.record) {
@@ -97,7 +97,7 @@
     {
         state_.token.reset();
         state_.record.reset();
-        dropCall(state_.pending);
+        cancelCall(state_.pending);
         state_.sent.clear();
         state_.sending.clear();
         state_.sendAt.clear();
--- a/src/entry/accounting/accounting.cpp
+++ b/src/entry/accounting/accounting.cpp
@@ -39,7 +39,7 @@
                    "refused",
                    {
                        { "request", static_cast<std::uint64_t>(refusal.request) },
-                       { "reason", entryOf(refusal.reason).name },
+                       { "reason", reasonInfo(refusal.reason).name },
                        { "outcome", outcomeName(refusal.outcome) },
                        { "step", refusal.step },
                        { "peer", refusal.peer },
--- a/src/entry/caller/callertask.cpp
+++ b/src/entry/caller/callertask.cpp
@@ -411,7 +411,7 @@
     const chat::Refusal refusal{ .reason = Reason::Draining, .outcome = Outcome::NotRun, .retryAfter = RedirectRetryAfter, .step = "admit" };
     addRefusalHeaders(request, refusal);
     if (entries->addresses.empty()) {
-        writeDocument(request, entryOf(Reason::Draining).status, "application/json", chat::makeRefusalBody(refusal));
+        writeDocument(request, reasonInfo(Reason::Draining).status, "application/json", chat::makeRefusalBody(refusal));
         return;
     }
     const auto turn = static_cast<std::size_t>(++lastId) % entries->addresses.size();
@@ -421,7 +421,7 @@
 
 auto CallerTask::State::refuseInput(evhtp_request *request, const RefusedInput &input) -> void
 {
-    const auto &entry = entryOf(input.reason());
+    const auto &entry = reasonInfo(input.reason());
     routing::Refuse refuse{ .reason = input.reason(), .outcome = Outcome::NotRun, .step = "identify" };
     if (entry.retryHelps) {
         refuse.retryAfter = RedirectRetryAfter;
--- a/src/entry/caller/internal/exchange.cpp
+++ b/src/entry/caller/internal/exchange.cpp
@@ -106,7 +106,7 @@
     if (!exchange.begun) {
         addReplyHeader(exchange.request, "Auburnspread-Request", exchange.publicId);
         addRefusalHeaders(exchange.request, refusal);
-        writeDocument(exchange.request, entryOf(refusal.reason).status, Json, chat::makeRefusalBody(refusal));
+        writeDocument(exchange.request, reasonInfo(refusal.reason).status, Json, chat::makeRefusalBody(refusal));
         return true;
     }
     if (!exchange.stream) {
@@ -133,7 +133,7 @@
 auto addRefusalHeaders(evhtp_request *request, const chat::Refusal &refusal) -> void
 {
     addReplyHeader(request, "Auburnspread-Outcome", std::string(outcomeName(refusal.outcome)));
-    addReplyHeader(request, "Auburnspread-Reason", std::string(entryOf(refusal.reason).name));
+    addReplyHeader(request, "Auburnspread-Reason", std::string(reasonInfo(refusal.reason).name));
     if (refusal.retryAfter) {
         addReplyHeader(request, "Retry-After", retryAfterSeconds(*refusal.retryAfter));
     }
--- a/src/gateway/accounting.cpp
+++ b/src/gateway/accounting.cpp
@@ -105,7 +105,7 @@
     event(Level::Info,
           "refused",
           { { "request", context.request },
-            { "reason", entryOf(refusal.reason).name },
+            { "reason", reasonInfo(refusal.reason).name },
             { "outcome", outcomeName(refusal.outcome) },
             { "status", refusal.status },
             { "retry_after_ms", wholeMilliseconds(refusal.retryAfter.value_or(Duration::zero())) },
@@ -117,7 +117,7 @@
 auto Accounting::badRequestRefused(std::string_view step, std::string_view detail) -> void
 {
     refusals_.add(Reason::BadRequest);
-    event(Level::Info, "refused", { { "step", step }, { "reason", entryOf(Reason::BadRequest).name }, { "detail", detail } });
+    event(Level::Info, "refused", { { "step", step }, { "reason", reasonInfo(Reason::BadRequest).name }, { "detail", detail } });
 }
 
 auto Accounting::responseDelivered(const RequestLogContext &context, std::string_view server, int status, Duration firstByte, Duration total) -> void
@@ -137,7 +137,7 @@
 auto Accounting::responseAborted(const RequestLogContext &context, const passthrough::Break &action) -> void
 {
     abortedResponses_.add();
-    event(Level::Warning, "answer-broken-off", { { "request", context.request }, { "reason", entryOf(action.reason).name }, { "peer", action.peer } });
+    event(Level::Warning, "answer-broken-off", { { "request", context.request }, { "reason", reasonInfo(action.reason).name }, { "peer", action.peer } });
 }
 
 auto Accounting::callerGone(const RequestLogContext &context, Duration elapsed) -> void
--- a/src/gateway/refusalanswer.cpp
+++ b/src/gateway/refusalanswer.cpp
@@ -29,12 +29,12 @@
 auto makeRefusalResponse(const passthrough::Refuse &refusal) -> BufferedResponse
 {
     BufferedResponse response{ .status = refusal.status, .headers = { { "Content-Type", TextType } } };
-    response.headers.push_back({ "Auburnspread-Reason", std::string(entryOf(refusal.reason).name) });
+    response.headers.push_back({ "Auburnspread-Reason", std::string(reasonInfo(refusal.reason).name) });
     response.headers.push_back({ "Auburnspread-Outcome", std::string(outcomeName(refusal.outcome)) });
     if (refusal.retryAfter) {
         response.headers.push_back({ "Retry-After", formatSeconds(*refusal.retryAfter) });
     }
-    response.body = std::string(entryOf(refusal.reason).name) + "\n";
+    response.body = std::string(reasonInfo(refusal.reason).name) + "\n";
     return response;
 }
 
--- a/src/wire/chat/chatanswer.cpp
+++ b/src/wire/chat/chatanswer.cpp
@@ -74,9 +74,9 @@
 auto makeRefusalBody(const Refusal &refusal) -> std::string
 {
     nlohmann::json error = {
-        { "type", entryOf(refusal.reason).name },
+        { "type", reasonInfo(refusal.reason).name },
         { "outcome", outcomeName(refusal.outcome) },
-        { "message", entryOf(refusal.reason).explanation },
+        { "message", reasonInfo(refusal.reason).explanation },
         { "request", refusal.requestId },
     };
     if (!refusal.step.empty()) {
