--- a/src/core/passthrough/peerreports.cpp
+++ b/src/core/passthrough/peerreports.cpp
@@ -223,7 +223,8 @@
     if (table.usesFleetReport) {
         addReportedLoads(table, table.fleetReport->report);
         for (const auto &server : table.serversWithPeerLoad) {
-            server->peerLoad = without(server->peerLoad, server->reportedLoad); // not ownLoad: the changes since the last report are not in the aggregate yet
+            // The aggregate contains this entry's load as last reported, which may differ from ownLoad by now.
+            server->peerLoad = without(server->peerLoad, server->reportedLoad);
         }
         return;
     }
--- a/src/core/passthrough/tests/ejection_tests.cpp
+++ b/src/core/passthrough/tests/ejection_tests.cpp
@@ -28,7 +28,7 @@
     return table;
 }
 
-/// Answers until the server is suspected so much that it is taken out of use; nothing: it never was.
+/// Number of answers until the evidence suffices to eject the server; nothing if it never does.
 auto answersUntilConclusive(double errorRate, double baselineRate, std::uint32_t seed, int most) -> std::optional<int>
 {
     std::mt19937_64 random(seed);
@@ -46,15 +46,15 @@
 
 } // namespace
 
-TEST(EjectionTests, aServerThatOnlyFailsIsKnownAfterAFewAnswers)
+TEST(EjectionTests, aServerThatAlwaysFailsIsDetectedAfterAFewAnswers)
 {
-    constexpr auto AFew = 3;
-    constexpr auto WhereManyFailAnyway = 8;
-    EXPECT_LE(answersUntilConclusive(1, 0.02, 1, 10).value(), AFew);
-    EXPECT_LE(answersUntilConclusive(1, 0.14, 1, 10).value(), WhereManyFailAnyway);
+    constexpr auto MostAtLowBaseline = 3;
+    constexpr auto MostAtHighBaseline = 8;
+    EXPECT_LE(answersUntilConclusive(1, 0.02, 1, 10).value(), MostAtLowBaseline);
+    EXPECT_LE(answersUntilConclusive(1, 0.14, 1, 10).value(), MostAtHighBaseline);
 }
 
-TEST(EjectionTests, aServerThatFailsEachSecondRequestIsKnownToo)
+TEST(EjectionTests, aServerThatFailsHalfOfItsRequestsIsDetected)
 {
     constexpr auto Most = 30;
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
@@ -62,15 +62,15 @@
     }
 }
 
-/// Guards against healthy servers taken out of use for requests that fail everywhere.
-TEST(EjectionTests, errorsThatBelongToTheRequestsConvinceOfNothing)
+/// Guards against ejecting healthy servers because of requests that fail at any server.
+TEST(EjectionTests, errorsCausedByRequestsAreNotConclusive)
 {
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
         EXPECT_FALSE(answersUntilConclusive(0.14, 0.14, seed, 1000)) << "seed " << seed;
     }
 }
 
-TEST(EjectionTests, atMostHalfOfAServiceIsOutOfUseForItsErrors)
+TEST(EjectionTests, atMostHalfOfAServiceIsEjected)
 {
     auto table = makeTable(4);
     auto usable = 0;
@@ -83,7 +83,7 @@
     EXPECT_EQ(usable, 2);
 }
 
-TEST(EjectionTests, otherEntriesHearOfItAndAServerIsBackWithinTwoSeconds)
+TEST(EjectionTests, anEjectionIsReportedToPeersAndEndsWithinTwoSeconds)
 {
     auto table = makeTable(4);
     auto other = makeTable(4);
@@ -96,8 +96,8 @@
     EXPECT_TRUE(isSuspected(server.errorEvidence)) << "it is tried with one request at a time";
 }
 
-/// Guards against an entry with a bad link that takes servers away from all others.
-TEST(EjectionTests, brokenConnectionsAreNotHeldAgainstAServerByOthers)
+/// Guards against an entry with a faulty network link that ejects servers at all other entries.
+TEST(EjectionTests, ejectionsForBrokenConnectionsAreNotReported)
 {
     auto table = makeTable(4);
     eject(table, *table.byId.at("e1"), false, Now);
@@ -105,8 +105,9 @@
     EXPECT_FALSE(isUsable(*table.byId.at("e1"), Now));
 }
 
-/// Guards against a server that has just come back from its pause, fails at once and is the only one with room.
-TEST(EjectionTests, aServerThatComesBackGetsOneRequestAtATime)
+/// Guards against sending all waiting requests to a server whose ejection has just ended, which still fails every request at once and
+/// is therefore the only one with capacity.
+TEST(EjectionTests, aServerGetsOneRequestAtATimeAfterItsEjection)
 {
     World world;
     PeerReported report{ .entry = "entry-2" };
@@ -114,10 +115,10 @@
     world.apply(report);
     EXPECT_EQ(find<Send>(world.arrive(CheckPath))->server, "e2");
     world.pass(std::chrono::milliseconds(2100));
-    auto onTrial = 0;
+    auto sentToReturned = 0;
     for (auto i = 0; i < 30; ++i) {
         const auto sent = find<Send>(world.arrive(CheckPath));
-        onTrial += sent && sent->server == "e1" ? 1 : 0;
+        sentToReturned += sent && sent->server == "e1" ? 1 : 0;
     }
-    EXPECT_EQ(onTrial, 1);
+    EXPECT_EQ(sentToReturned, 1);
 }
--- a/src/core/passthrough/tests/enginecache_tests.cpp
+++ b/src/core/passthrough/tests/enginecache_tests.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST(EngineCacheTests, aPartCountsOnlyBehindAllPartsBeforeIt)
+TEST(EngineCacheTests, aPartCountsOnlyIfAllPartsBeforeItAreCached)
 {
     EngineCache cache;
     recordUse(cache, Session, 0, Now);
@@ -30,7 +30,7 @@
     EXPECT_EQ(cachedPrefixTokens(cache, makePrompt(), Now), 6000U) << "and the request's own part never does";
 }
 
-TEST(EngineCacheTests, whatWasJustSentIsHeldButNotReadYet)
+TEST(EngineCacheTests, aPartThatWasJustSentIsCachedButNotProcessedYet)
 {
     EngineCache cache;
     recordUse(cache, Document, 0, Now);
@@ -39,7 +39,7 @@
     EXPECT_EQ(processedPrefixTokens(cache, makePrompt(), Now + std::chrono::seconds(1)), 2000U);
 }
 
-TEST(EngineCacheTests, aPartThatNobodyUsesForLongMayBeGone)
+TEST(EngineCacheTests, aPartUnusedForLongIsNoLongerCached)
 {
     EngineCache cache;
     recordUse(cache, Document, 0, Now);
@@ -48,9 +48,9 @@
     EXPECT_EQ(processedPrefixTokens(cache, makePrompt(), Now + std::chrono::minutes(1)), 0U) << "it is read anew";
 }
 
-/// What callers see: first events later than expected. An engine's memory yields the parts used least recently, and a part that is
-/// believed there for longer draws requests to an engine that must read it.
-TEST(EngineCacheTests, theOldestPartsYieldWhenTheMemoryIsFull)
+/// Guards against first events that come later than expected. An engine evicts the least recently used parts, and a part that stays in
+/// the model after its eviction attracts requests to an engine that has to process it again.
+TEST(EngineCacheTests, theLeastRecentlyUsedPartsAreEvictedWhenTheMemoryIsFull)
 {
     EngineCache cache;
     recordUse(cache, Document, 5000, Now);
@@ -60,7 +60,7 @@
     EXPECT_EQ(cache.tokens, 4000U);
 }
 
-TEST(EngineCacheTests, aPartIsToldOnceForAsLongAsItIsNews)
+TEST(EngineCacheTests, recentlySentPartsAreListedOnceWithinTheWindow)
 {
     RecentlySentParts recent;
     recordSentPart(recent, Document, Now);
--- a/src/core/passthrough/tests/limitedfleet.cpp
+++ b/src/core/passthrough/tests/limitedfleet.cpp
@@ -17,23 +17,23 @@
 
 constexpr Duration TickInterval = std::chrono::milliseconds(20);
 constexpr Duration WorkTime = std::chrono::milliseconds(30);
-constexpr Duration SumInterval = std::chrono::milliseconds(100);
-/// A dead entry is in the list of the others for this long.
-constexpr Duration MemberAge = std::chrono::milliseconds(1800);
+constexpr Duration AggregateInterval = std::chrono::milliseconds(100);
+/// Time for which the other entries' membership lists still contain an entry that crashed.
+constexpr Duration MembershipTimeout = std::chrono::milliseconds(1800);
 constexpr Duration RestartTime = std::chrono::milliseconds(300);
-constexpr Duration LongestCut = std::chrono::seconds(4);
-/// With more entries than this one of each failure domain sums their reports up.
+constexpr Duration LongestPartition = std::chrono::seconds(4);
+/// With more entries than this, one hub per failure domain aggregates their reports.
 constexpr std::size_t MostDirectPeers = 12;
-/// \name As the bound is judged
+/// \name Which requests LimitedFleetResult::mostWithinWindow counts
 /// @{
 constexpr Duration Window = std::chrono::seconds(4);
-constexpr Duration ToldFor = std::chrono::milliseconds(500);
-constexpr Duration Excused = std::chrono::seconds(3);
+constexpr Duration PropagationTime = std::chrono::milliseconds(500); ///< an entry is counted from this time after its first answer with a limit
+constexpr Duration RecoveryTime = std::chrono::seconds(3);           ///< an entry is not counted until this time after a fault
 /// @}
 
 struct Arrival {
     TimePoint at;
-    bool counts = false;
+    bool isCounted = false;
 };
 
 class LimitedFleet
@@ -50,16 +50,16 @@
         for (std::size_t i = 0; i < entries_.size(); ++i) {
             start(i);
         }
-        tellEntries();
+        announceEntries();
     }
 
-    auto play() -> LimitedFleetResult
+    auto run() -> LimitedFleetResult
     {
         drawFaults();
         scheduleArrival();
         every(TickInterval, [this]() { tick(); });
         every(ReportInterval, [this]() { report(); });
-        every(SumInterval, [this]() { sendSums(); });
+        every(AggregateInterval, [this]() { sendAggregates(); });
         while (!queue_.empty() && queue_.top().at <= Start + options_.length) {
             auto next = queue_.top();
             queue_.pop();
@@ -77,9 +77,9 @@
         RouterStatePointer router;
         std::uint64_t incarnation = 0;
         bool isDown = false;
-        bool isCut = false;
-        TimePoint harmedUntil;                 ///< by a kill or a cut
-        std::map<std::string, TimePoint> told; ///< when it passed on the first answer with a limit, by server
+        bool isPartitioned = false;
+        TimePoint faultEndsAt;                            ///< end of the latest crash or partition
+        std::map<std::string, TimePoint> limitReceivedAt; ///< when the entry received the first answer with a limit, by server
     };
     struct Event {
         TimePoint at;
@@ -126,7 +126,7 @@
         auto &entry = entries_.at(number);
         entry.incarnation += 1;
         entry.isDown = false;
-        entry.told.clear();
+        entry.limitReceivedAt.clear();
         entry.router = makeRouter({ .entry = nameOf(number), .failureDomain = std::to_string(domainOf(number)) });
         step(*entry.router, ConfigurationAdopted{ makeConfiguration() }, now_);
         step(*entry.router, ConfigurationConfirmed{ .asOf = now_ + std::chrono::hours(1) }, now_);
@@ -134,7 +134,7 @@
         step(*entry.router, EntriesCounted{ .isGuess = true }, now_);
     }
 
-    auto tellEntries() -> void
+    auto announceEntries() -> void
     {
         EntriesCounted counted;
         for (std::size_t i = 0; i < entries_.size(); ++i) {
@@ -144,7 +144,7 @@
         }
         counted.entries = static_cast<std::uint32_t>(counted.names.size());
         for (std::size_t i = 0; i < entries_.size(); ++i) {
-            if (!entries_[i].isDown && !entries_[i].isCut) {
+            if (!entries_[i].isDown && !entries_[i].isPartitioned) {
                 apply(i, counted);
             }
         }
@@ -154,37 +154,37 @@
     {
         const auto seconds = std::chrono::duration<double>(options_.length).count();
         const auto drawTime = [&]() { return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(draw(seconds))); };
-        for (std::size_t i = 0; i < options_.kills; ++i) {
-            after(drawTime(), [this, entry = drawEntry()]() { kill(entry); });
+        for (std::size_t i = 0; i < options_.crashes; ++i) {
+            after(drawTime(), [this, entry = drawEntry()]() { crash(entry); });
         }
-        for (std::size_t i = 0; i < options_.cuts; ++i) {
-            after(drawTime(), [this, entry = drawEntry(), length = scaled(LongestCut, draw(1))]() { cut(entry, length); });
+        for (std::size_t i = 0; i < options_.partitions; ++i) {
+            after(drawTime(), [this, entry = drawEntry(), length = scaled(LongestPartition, draw(1))]() { partition(entry, length); });
         }
     }
 
-    auto kill(std::size_t number) -> void
+    auto crash(std::size_t number) -> void
     {
         auto &entry = entries_.at(number);
         if (entry.isDown) {
             return;
         }
         entry.isDown = true;
-        entry.harmedUntil = std::max(entry.harmedUntil, now_ + RestartTime);
+        entry.faultEndsAt = std::max(entry.faultEndsAt, now_ + RestartTime);
         after(RestartTime, [this, number]() {
             start(number);
-            after(RestartTime, [this]() { tellEntries(); });
+            after(RestartTime, [this]() { announceEntries(); });
         });
-        after(MemberAge, [this]() { tellEntries(); });
+        after(MembershipTimeout, [this]() { announceEntries(); });
     }
 
-    auto cut(std::size_t number, Duration length) -> void
+    auto partition(std::size_t number, Duration length) -> void
     {
         auto &entry = entries_.at(number);
-        entry.isCut = true;
-        entry.harmedUntil = std::max(entry.harmedUntil, now_ + length);
+        entry.isPartitioned = true;
+        entry.faultEndsAt = std::max(entry.faultEndsAt, now_ + length);
         after(length, [this, number]() {
-            entries_.at(number).isCut = false;
-            tellEntries();
+            entries_.at(number).isPartitioned = false;
+            announceEntries();
         });
     }
 
@@ -206,7 +206,7 @@
     {
         for (const auto &action : step(*entries_.at(number).router, event, now_)) {
             if (const auto *send = std::get_if<Send>(&action)) {
-                takeSend(number, *send);
+                handleSend(number, *send);
             } else if (const auto *refusal = std::get_if<Refuse>(&action)) {
                 result_.refused += 1;
                 result_.refusedAsLimited += refusal->reason == Reason::BackendLimited ? 1 : 0;
@@ -217,17 +217,18 @@
     [[nodiscard]] auto limitOf(const std::string &server) const -> std::optional<double>
     {
         const auto isLimited = std::stoul(server.substr(1)) < options_.limitedServers;
-        const auto inNeed = now_ >= Start + options_.limitFrom && now_ < Start + options_.limitUntil;
-        return isLimited && inNeed ? std::optional(options_.limit) : std::nullopt;
+        const auto isLimitPhase = now_ >= Start + options_.limitFrom && now_ < Start + options_.limitUntil;
+        return isLimited && isLimitPhase ? std::optional(options_.limit) : std::nullopt;
     }
 
-    auto takeSend(std::size_t number, const Send &send) -> void
+    auto handleSend(std::size_t number, const Send &send) -> void
     {
         result_.sent += 1;
         const auto &entry = entries_.at(number);
-        const auto told = entry.told.find(send.server);
-        const auto isExcused = entry.isCut || now_ < entry.harmedUntil + Excused;
-        arrivals_[send.server].push_back({ .at = now_, .counts = told != entry.told.end() && now_ >= told->second + ToldFor && !isExcused });
+        const auto received = entry.limitReceivedAt.find(send.server);
+        const auto isRecovering = entry.isPartitioned || now_ < entry.faultEndsAt + RecoveryTime;
+        arrivals_[send.server].push_back(
+            { .at = now_, .isCounted = received != entry.limitReceivedAt.end() && now_ >= received->second + PropagationTime && !isRecovering });
         if (send.server == "p0") {
             result_.sentToFirst += limitOf(send.server) ? 1 : 0;
             result_.sentToFirstAfter += now_ >= Start + options_.limitUntil + std::chrono::seconds(1) ? 1 : 0;
@@ -243,9 +244,9 @@
     {
         const auto limit = limitOf(server);
         if (limit) {
-            entries_.at(number).told.try_emplace(server, now_);
+            entries_.at(number).limitReceivedAt.try_emplace(server, now_);
         } else {
-            entries_.at(number).told.erase(server);
+            entries_.at(number).limitReceivedAt.erase(server);
         }
         apply(number, LimitStated{ .attempt = attempt, .perSecond = limit });
         apply(number, AttemptAnswered{ .attempt = attempt, .status = 200 });
@@ -260,28 +261,28 @@
         }
     }
 
-    [[nodiscard]] auto isReached(std::size_t number) const -> bool
+    [[nodiscard]] auto isReachable(std::size_t number) const -> bool
     {
-        return !entries_.at(number).isDown && !entries_.at(number).isCut;
+        return !entries_.at(number).isDown && !entries_.at(number).isPartitioned;
     }
 
     auto deliver(std::size_t from, std::size_t to, const PeerReported &report) -> void
     {
-        if (from == to || !isReached(from) || draw(1) < options_.lostReports) {
+        if (from == to || !isReachable(from) || draw(1) < options_.lostReports) {
             return;
         }
         after(scaled(options_.longestDelay, draw(1)), [this, to, report]() {
-            if (isReached(to)) {
+            if (isReachable(to)) {
                 apply(to, report);
             }
         });
     }
 
-    /// Of a failure domain, the first entry that can be reached.
+    /// \return the first entry of the failure domain that can be reached, or its last one if there is none
     [[nodiscard]] auto hubOf(std::size_t domain) const -> std::size_t
     {
         auto number = domain;
-        while (number + options_.failureDomains < entries_.size() && !isReached(number)) {
+        while (number + options_.failureDomains < entries_.size() && !isReachable(number)) {
             number += options_.failureDomains;
         }
         return number;
@@ -304,29 +305,29 @@
         }
     }
 
-    auto sendSums() -> void
+    auto sendAggregates() -> void
     {
         if (entries_.size() <= MostDirectPeers) {
             return;
         }
         for (std::size_t domain = 0; domain < options_.failureDomains; ++domain) {
-            sendSumsOf(domain);
+            sendAggregatesOf(domain);
         }
     }
 
-    auto sendSumsOf(std::size_t domain) -> void
+    auto sendAggregatesOf(std::size_t domain) -> void
     {
         const auto from = hubOf(domain);
         if (entries_[from].isDown) {
             return;
         }
-        const auto ofDomain = takeSum(*entries_[from].router, ReportScope::FailureDomain);
+        const auto domainReport = takeSum(*entries_[from].router, ReportScope::FailureDomain);
         for (std::size_t other = 0; other < options_.failureDomains; ++other) {
-            deliver(from, hubOf(other), ofDomain);
+            deliver(from, hubOf(other), domainReport);
         }
-        const auto ofAll = takeSum(*entries_[from].router, ReportScope::Fleet);
+        const auto fleetReport = takeSum(*entries_[from].router, ReportScope::Fleet);
         for (auto to = domain; to < entries_.size(); to += options_.failureDomains) {
-            deliver(from, to, ofAll);
+            deliver(from, to, fleetReport);
         }
     }
 
@@ -336,7 +337,7 @@
         for (const auto &[server, arrivals] : arrivals_) {
             std::vector<TimePoint> counted;
             for (const auto &each : arrivals) {
-                if (each.counts) {
+                if (each.isCounted) {
                     counted.push_back(each.at);
                 }
             }
@@ -364,7 +365,7 @@
 
 auto simulateLimitedFleet(const LimitedFleetOptions &options) -> LimitedFleetResult
 {
-    return LimitedFleet(options).play();
+    return LimitedFleet(options).run();
 }
 
 } // namespace auburnspread::passthrough::tests
--- a/src/core/passthrough/tests/manyservers_tests.cpp
+++ b/src/core/passthrough/tests/manyservers_tests.cpp
@@ -34,9 +34,9 @@
 
 } // namespace
 
-TEST(ManyServersTests, partsAreOfBoundedSizeAndHoldEachServerOnce)
+TEST(ManyServersTests, shardsHaveABoundedSizeAndContainEachServerOnce)
 {
-    constexpr std::size_t Most = 300; // 256 and the spread of hashes
+    constexpr std::size_t Most = 300; // 256 plus the variance of the hash distribution
     for (const auto engines : { 10, 160, 256, 257, 600, 3000 }) {
         const auto table = makeTable(engines);
         const auto &group = table.byService.at("engines");
@@ -52,7 +52,7 @@
     }
 }
 
-TEST(ManyServersTests, theSecondPartIsAnotherOne)
+TEST(ManyServersTests, theFallbackShardIsADifferentOne)
 {
     const auto table = makeTable(3000);
     const auto &group = table.byService.at("engines");
@@ -61,8 +61,8 @@
     }
 }
 
-/// Guards against a session whose part is full while engines of other parts are idle.
-TEST(ManyServersTests, aSessionGoesToAnotherPartWhenItsOwnIsFull)
+/// Guards against a session that has to wait for its full shard while engines of other shards are idle.
+TEST(ManyServersTests, aSessionUsesItsFallbackShardWhenItsOwnIsFull)
 {
     World world;
     world.apply(ServersListed{ .servers = makeEngines(600), .asOf = world.now() });
@@ -87,8 +87,8 @@
     EXPECT_TRUE(find<Send>(world.apply(quote())));
 }
 
-/// Guards against a sum that is longer than a datagram, which is lost as a whole.
-TEST(ManyServersTests, aSumNamesTheBusiestServersAndAnEjectedOne)
+/// Guards against an aggregate that exceeds the size of a datagram and is lost as a whole.
+TEST(ManyServersTests, anAggregateContainsTheBusiestServersAndEjectedOnes)
 {
     constexpr std::size_t Most = 200;
     auto table = makeTable(1000);
@@ -108,8 +108,7 @@
     EXPECT_FALSE(names("e4"));
 }
 
-/// A change of the list means the same as the list with that change.
-TEST(ManyServersTests, aChangeOfTheListActsLikeTheListWithIt)
+TEST(ManyServersTests, applyingAChangeEqualsApplyingTheChangedList)
 {
     auto byList = makeTable(20);
     auto byChange = makeTable(20);
@@ -127,7 +126,7 @@
     EXPECT_EQ(byList.byService.at("engines").all.size(), byChange.byService.at("engines").all.size());
 }
 
-/// Guards against servers that are dropped at once after an outage of the registry, although they live.
+/// Guards against servers that are removed right after a registry outage, although they are alive.
 TEST(ManyServersTests, aServerThatLapsedInAnOutageMayReturn)
 {
     auto table = makeTable(3);
--- a/src/core/passthrough/tests/serverlimit_tests.cpp
+++ b/src/core/passthrough/tests/serverlimit_tests.cpp
@@ -12,16 +12,16 @@
 namespace
 {
 
-/// Requests within 4 s that a server with this limit may get.
+/// Number of requests that a server with this limit may get within 4 s.
 auto allowedWithinWindow(double perSecond) -> double
 {
     constexpr double Seconds = 4;
     constexpr double Factor = 1.5;
-    constexpr double More = 5;
-    return Factor * perSecond * Seconds + More;
+    constexpr double Margin = 5;
+    return Factor * perSecond * Seconds + Margin;
 }
 
-/// Sends a request to the only server of the plain service, which answers with this limit.
+/// Sends a request to the only server of the plain service, which answers with this limit. \return whether the request was sent
 auto answerWithLimit(World &world, std::optional<double> perSecond) -> bool
 {
     const auto sent = find<Send>(world.arrive(FetchPath));
@@ -43,7 +43,8 @@
 
 } // namespace
 
-/// Guards against entries that together send a server in need more than it takes, whatever their number and whatever befalls them.
+/// Guards against entries that together exceed a server's limit, for any number of entries and with lost reports, crashes and network
+/// partitions.
 RC_GTEST_PROP(ServerLimitTests, allEntriesTogetherKeepToTheLimit, ())
 {
     const auto isLarge = *rc::gen::weightedElement<bool>({ { 3, false }, { 1, true } });
@@ -56,30 +57,30 @@
     options.requestsPerSecond = 60 + 6 * options.limit * static_cast<double>(options.limitedServers);
     options.longestDelay = std::chrono::milliseconds(*rc::gen::inRange(5, 300));
     options.lostReports = *rc::gen::element(0.0, 0.02, 0.1);
-    options.kills = *rc::gen::inRange<std::size_t>(0, 6);
-    options.cuts = *rc::gen::inRange<std::size_t>(0, 3);
+    options.crashes = *rc::gen::inRange<std::size_t>(0, 6);
+    options.partitions = *rc::gen::inRange<std::size_t>(0, 3);
     options.seed = *rc::gen::arbitrary<std::uint64_t>();
     const auto result = simulateLimitedFleet(options);
     RC_LOG() << "entries " << options.entries << ", limit " << options.limit << ": " << result.mostWithinWindow << " within the window";
     RC_ASSERT(static_cast<double>(result.mostWithinWindow) <= allowedWithinWindow(options.limit));
 }
 
-/// Guards against entries that can't hear each other and each use the whole limit.
-TEST(ServerLimitTests, anEntryThatHearsNobodyKeepsToItsPart)
+/// Guards against entries that receive no reports from each other and use the whole limit each.
+TEST(ServerLimitTests, anEntryWithoutPeerReportsKeepsToItsShare)
 {
     const TimePoint now(std::chrono::hours(1));
     ServerLimit limit;
     ASSERT_TRUE(updateOwnStatement(limit, 6, now, now));
-    LimitUsage share{ .entries = 40, .peersKnown = true, .sent = 3 }; // of 24 within the window, 3 for each of 8 entries
-    EXPECT_TRUE(maySend(limit, share, now));
-    share.peersKnown = false;
-    EXPECT_FALSE(maySend(limit, share, now));
-    share.entries = 0;
-    EXPECT_FALSE(maySend(limit, share, now));
+    LimitUsage usage{ .entries = 40, .peersKnown = true, .sent = 3 }; // 24 are allowed within the window, 3 for each of 8 entries
+    EXPECT_TRUE(maySend(limit, usage, now));
+    usage.peersKnown = false;
+    EXPECT_FALSE(maySend(limit, usage, now));
+    usage.entries = 0;
+    EXPECT_FALSE(maySend(limit, usage, now));
 }
 
-/// Guards against a server that is shunned as long as it is in need: what it takes is used.
-TEST(ServerLimitTests, aLimitIsUsedWhereRequestsWait)
+/// Guards against a server that gets far fewer requests than its limit allows while requests wait.
+TEST(ServerLimitTests, aLimitIsUsedWhileRequestsWait)
 {
     for (const auto entries : { 1U, 7U, 40U }) {
         for (const auto limit : { 1.0, 5.0, 40.0 }) {
@@ -92,15 +93,15 @@
     }
 }
 
-/// Guards against requests that are refused although another server takes them.
-TEST(ServerLimitTests, whatALimitTurnsAwayGoesElsewhere)
+/// Guards against requests that are refused although another server has capacity.
+TEST(ServerLimitTests, requestsBeyondALimitGoToOtherServers)
 {
     const auto result = simulateLimitedFleet({ .entries = 7, .servers = 3, .limitedServers = 1, .limit = 1 });
     EXPECT_EQ(result.refused, 0U);
 }
 
-/// Guards against a limit that outlives the need.
-TEST(ServerLimitTests, aServerThatNamesNoLimitAnyMoreIsUsedAsBefore)
+/// Guards against a limit that stays in effect after the server has stopped stating it.
+TEST(ServerLimitTests, aServerWhoseLimitEndedIsUsedAsBefore)
 {
     for (const auto entries : { 7U, 40U }) {
         const LimitedFleetOptions options{ .entries = entries, .servers = 2, .limit = 1, .limitUntil = std::chrono::seconds(6) };
@@ -110,18 +111,18 @@
     }
 }
 
-/// Guards against less urgent requests that use a limit up, so that an urgent one waits.
-TEST(ServerLimitTests, lessUrgentRequestsLeaveSomeOfALimit)
+/// Guards against less urgent requests that exhaust a limit, so that a more urgent one has to wait.
+TEST(ServerLimitTests, lessUrgentRequestsLeaveAReserve)
 {
     const TimePoint now(std::chrono::hours(1));
     ServerLimit limit;
     ASSERT_TRUE(updateOwnStatement(limit, 4, now, now));
-    LimitUsage share{ .entries = 1, .peersKnown = true, .sent = 12 }; // of 16 within the window
-    EXPECT_TRUE(maySend(limit, share, now));
-    share.leavesReserve = true;
-    EXPECT_FALSE(maySend(limit, share, now));
-    share.sent = 11;
-    EXPECT_TRUE(maySend(limit, share, now));
+    LimitUsage usage{ .entries = 1, .peersKnown = true, .sent = 12 }; // 16 are allowed within the window
+    EXPECT_TRUE(maySend(limit, usage, now));
+    usage.leavesReserve = true;
+    EXPECT_FALSE(maySend(limit, usage, now));
+    usage.sent = 11;
+    EXPECT_TRUE(maySend(limit, usage, now));
 }
 
 TEST(ServerLimitTests, anAnswerToAnEarlierRequestDoesNotEndALimit)
@@ -135,8 +136,8 @@
     EXPECT_EQ(statusOf(world.router(), world.now()).limitedServers, 1U);
 }
 
-/// Guards against requests that wait for an answer that says more, when a server names a rate of nothing.
-TEST(ServerLimitTests, aServerThatTakesNothingIsTriedNowAndThen)
+/// Guards against requests that wait forever after a server states a limit of zero: only another answer can end the limit.
+TEST(ServerLimitTests, aServerWithALimitOfZeroIsProbed)
 {
     auto world = makeSingleServerWorld();
     ASSERT_TRUE(answerWithLimit(world, 0));
@@ -145,7 +146,7 @@
     EXPECT_EQ(statusOf(world.router(), world.now()).limitedServers, 0U);
 }
 
-TEST(ServerLimitTests, aServerThatStartedAnewHasNoLimit)
+TEST(ServerLimitTests, aRestartedServerHasNoLimit)
 {
     auto world = makeSingleServerWorld();
     ASSERT_TRUE(answerWithLimit(world, 1));
--- a/src/core/passthrough/tests/servers_tests.cpp
+++ b/src/core/passthrough/tests/servers_tests.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Servers that several requests at once are sent to; all are answered after a usual time.
+/// Sends several requests at once, answers all of them after a typical time and returns the servers that they went to.
 auto serversUsed(World &world, const std::string &path) -> std::set<std::string>
 {
     constexpr auto Requests = 9;
@@ -33,9 +33,9 @@
 
 } // namespace
 
-/// What a caller sees: a call that is cut off. A server is about to leave; it must get nothing new from the moment at
-/// which this entry knows.
-TEST(ServerTests, aLeavingServerGetsNothingNew)
+/// Guards against a call that is cut off because it was sent to a server that is shutting down. From the moment at which this entry
+/// knows that a server is leaving, the server must get no new requests.
+TEST(ServerTests, aLeavingServerGetsNoNewRequests)
 {
     World world;
     auto servers = makeServers();
@@ -44,9 +44,9 @@
     EXPECT_EQ(serversUsed(world, FetchPath), (std::set<std::string>{ "p2", "p3" }));
 }
 
-/// What callers see: nothing for seconds. A server crashes, which suspends it here, and starts again under its id; it is
-/// ready at once, but everything remembered of its earlier run speaks against it.
-TEST(ServerTests, aServerThatStartedAgainIsKnownAsNew)
+/// Guards against requests that get no answer for seconds. A server crashes, which suspends it at this entry, and restarts under the
+/// same id. It is ready at once, so the suspension of its earlier run must not apply.
+TEST(ServerTests, aRestartedServerCountsAsNew)
 {
     World world;
     std::vector<Server> servers{ makeServer("p1", "portal", 6) };
@@ -61,9 +61,9 @@
     EXPECT_TRUE(find<Send>(actions));
 }
 
-/// What callers see: requests that wait although an engine is idle. It crashes with prompts unread and starts again under its
-/// id; an attempt of its earlier run ends later and must not be taken from the account of its new one.
-TEST(ServerTests, attemptsOfAnEarlierRunEndInTheAccountsOfThatRun)
+/// Guards against requests that wait although an engine is idle. The engine crashes while processing prompts and restarts under the
+/// same id. An attempt on its earlier run ends later and must not be subtracted from the load of the new run.
+TEST(ServerTests, attemptsOfAnEarlierRunDoNotChangeTheLoadOfTheNewRun)
 {
     ServerTable table;
     Server record = makeServer("e1", "engines", 32);
@@ -80,9 +80,9 @@
     EXPECT_EQ(after->ownLoad.unreadTokens, 100U);
 }
 
-/// What callers see: every request refused, although all servers live. The store was away so long that registrations
-/// lapsed; its first list is empty, and the servers are back in it within two seconds.
-TEST(ServerTests, serversMissingAfterAnOutageOfTheRegistryStayForTwoSeconds)
+/// Guards against refusing every request although all servers are alive. The registry was unreachable for so long that registrations
+/// lapsed; its first list is empty, and the servers register again within two seconds.
+TEST(ServerTests, serversMissingAfterARegistryOutageAreKeptForTwoSeconds)
 {
     World world;
     world.passSilently(std::chrono::seconds(5));
@@ -96,9 +96,9 @@
     EXPECT_EQ(serversUsed(world, FetchPath), (std::set<std::string>{ "p2" }));
 }
 
-/// What a caller sees: a call cut off at a server that left two seconds ago. The store was out of reach, its first list after
-/// that showed the server, and the next does not: it left since, and is not about to return.
-TEST(ServerTests, aServerThatLeftAfterAnOutageIsGoneAtOnce)
+/// Guards against a call that is cut off because it was sent to a server that left two seconds ago. The first list after a registry
+/// outage contains the server and the next one does not, so the server has left and will not return.
+TEST(ServerTests, aServerThatLeftAfterAnOutageIsRemovedAtOnce)
 {
     World world;
     const auto outageEnded = world.now() + std::chrono::milliseconds(100);
@@ -109,16 +109,16 @@
     EXPECT_EQ(serversUsed(world, FetchPath), (std::set<std::string>{ "p3" }));
 }
 
-TEST(ServerTests, aServerThatVanishesFromTheListIsGoneAtOnce)
+TEST(ServerTests, aServerMissingFromTheListIsRemovedAtOnce)
 {
     World world;
     world.apply(ServersListed{ .servers = { makeServer("p3", "portal", 6) } });
     EXPECT_EQ(serversUsed(world, FetchPath), (std::set<std::string>{ "p3" }));
 }
 
-/// What callers see: one request in three fails for seconds. A server crashed and its entry stays until its lease ends;
-/// after the first refused connection it gets no work for a while.
-TEST(ServerTests, aServerThatRefusesConnectionsIsLeftAlone)
+/// Guards against one request in three failing for seconds. A server crashed, but it stays listed until its lease expires; after the
+/// first refused connection it gets no requests for a while.
+TEST(ServerTests, aServerThatRefusesConnectionsIsSuspended)
 {
     World world;
     const auto first = find<Send>(world.arrive(FetchPath));
@@ -128,9 +128,9 @@
     EXPECT_TRUE(serversUsed(world, FetchPath).contains(first->server));
 }
 
-/// What callers see: quotes that never begin. A server is dark: it takes connections and says nothing. Requests that
-/// nothing is heard of for over a second speak against it, and the next go elsewhere.
-TEST(ServerTests, aServerThatSaysNothingGetsNothingMore)
+/// Guards against streams that never start. A server accepts connections but sends nothing; when a response is overdue for more than
+/// a second, the next requests go to other servers.
+TEST(ServerTests, anUnresponsiveServerGetsNoMoreRequests)
 {
     World world;
     const auto first = find<Send>(world.arrive(NoticePath));
@@ -138,9 +138,9 @@
     EXPECT_FALSE(serversUsed(world, FetchPath).contains(first->server));
 }
 
-/// What callers see: requests wait although all servers are well. Callers with very little time left give up on them one after
-/// the other; that says nothing about the servers.
-TEST(ServerTests, aCallerWithLittleTimeSaysNothingAboutTheServer)
+/// Guards against requests that wait although all servers are healthy. Callers with very short deadlines give up one after the other,
+/// which is no evidence against the servers.
+TEST(ServerTests, aShortDeadlineIsNoEvidenceAgainstTheServer)
 {
     World world;
     world.apply(ServersListed{ .servers = { makeServer("p1", "portal", 6) }, .asOf = world.now() });
@@ -151,9 +151,9 @@
     EXPECT_TRUE(find<Send>(world.arrive(FetchPath)));
 }
 
-/// What callers see: every request refused although the only server has woken up. It was silent for a moment; now and then
-/// one request finds out whether it still is.
-TEST(ServerTests, aSilentServerIsTriedAgain)
+/// Guards against refusing every request although the only server is responsive again. It was unresponsive for a moment; from time to
+/// time one request probes it.
+TEST(ServerTests, anUnresponsiveServerIsProbed)
 {
     World world;
     world.apply(ServersListed{ .servers = { makeServer("p1", "portal", 6) } });
--- a/src/core/passthrough/tests/strain_tests.cpp
+++ b/src/core/passthrough/tests/strain_tests.cpp
@@ -10,16 +10,17 @@
 namespace
 {
 
-constexpr TimePoint Begun(std::chrono::hours(1));
+constexpr TimePoint Start(std::chrono::hours(1));
 constexpr Duration Second = std::chrono::seconds(1);
 
 auto makePace(std::uint32_t events, std::uint32_t expectedEvents) -> AnswerPace
 {
-    return { .startedAt = Begun, .events = events, .expectedEvents = expectedEvents, .deadline = Begun + 8 * Second };
+    return { .startedAt = Start, .events = events, .expectedEvents = expectedEvents, .deadline = Start + 8 * Second };
 }
 
-/// Requests of equal prompts that are sent while the engines have room for some of what waits.
-auto sentOf(World &world, int requests) -> int
+/// Lets requests with equally long prompts arrive while the engines have capacity for some of the waiting ones, and counts those that
+/// are sent.
+auto countSent(World &world, int requests) -> int
 {
     auto sent = 0;
     for (auto i = 0; i < requests; ++i) {
@@ -41,8 +42,8 @@
     return sent;
 }
 
-/// One answer whose events come at this pace; the caller guesses a hundred tokens and waits for five seconds.
-auto relayAnswer(World &world, Duration pace) -> void
+/// Relays one answer with this time between its events; the caller estimates a hundred tokens and waits for five seconds.
+auto relayAnswer(World &world, Duration interval) -> void
 {
     constexpr auto Events = 40;
     auto quote = world.request(QuotePath);
@@ -51,7 +52,7 @@
     ASSERT_TRUE(send);
     world.apply(AttemptStarted{ .attempt = send->attempt, .goesToCaller = true });
     for (auto i = 0; i < Events; ++i) {
-        world.pass(pace);
+        world.pass(interval);
         world.apply(AttemptProgress{ .attempt = send->attempt });
     }
     world.apply(AttemptFinished{ .attempt = send->attempt });
@@ -59,24 +60,24 @@
 
 } // namespace
 
-TEST(StrainTests, anAnswerIsStrainedIfItWillEndTooLateAtItsPace)
+TEST(StrainTests, anAnswerIsStrainedIfItWillMissItsDeadlineAtItsPace)
 {
-    EXPECT_FALSE(isStrained(makePace(0, 20), Begun + Second)) << "nothing is known yet";
-    EXPECT_FALSE(isStrained(makePace(4, 20), Begun + Second)) << "ends after five seconds";
-    EXPECT_TRUE(isStrained(makePace(2, 20), Begun + Second)) << "would end after ten";
-    EXPECT_FALSE(isStrained(makePace(2, 0), Begun + Second)) << "nobody guessed its length";
+    EXPECT_FALSE(isStrained(makePace(0, 20), Start + Second)) << "nothing is known yet";
+    EXPECT_FALSE(isStrained(makePace(4, 20), Start + Second)) << "ends after five seconds";
+    EXPECT_TRUE(isStrained(makePace(2, 20), Start + Second)) << "would end after ten";
+    EXPECT_FALSE(isStrained(makePace(2, 0), Start + Second)) << "nobody guessed its length";
 }
 
 TEST(StrainTests, anAnswerIsStrainedIfItPausesTooLong)
 {
     auto pace = makePace(4, 0);
     pace.longestPause = std::chrono::milliseconds(200);
-    EXPECT_TRUE(isStrained(pace, Begun + Second));
+    EXPECT_TRUE(isStrained(pace, Start + Second));
     pace.longestPause = std::chrono::milliseconds(300);
-    EXPECT_FALSE(isStrained(pace, Begun + Second));
+    EXPECT_FALSE(isStrained(pace, Start + Second));
 }
 
-TEST(StrainTests, strainIsForgottenWithinSomeSixtyEvents)
+TEST(StrainTests, strainDecaysWithFurtherEvents)
 {
     Strain strain{ .share = 1 };
     EXPECT_LT(releaseFactor(strain), 0.6);
@@ -86,18 +87,18 @@
     EXPECT_GT(queuedWorkFactor(strain), 0.98);
 }
 
-/// What callers see: answers that begin in time and are cut at the caller's deadline, two in three of a burst. Engines with large
-/// chunks read all the time, and a token comes each tenth of a second. Where the answers that this entry relays crawl, less of
-/// what waits is released than where they run.
-TEST(StrainTests, lessIsReleasedWhereAnswersCrawl)
+/// Guards against answers that start in time but are cut off at the caller's deadline, two in three in a burst. Engines with large
+/// chunks process prompts continuously, and an answer gets a token only every tenth of a second. When the answers that this entry relays
+/// are slow, fewer of the waiting requests must be released than when they are fast.
+TEST(StrainTests, fewerRequestsAreReleasedWhenAnswersAreSlow)
 {
     constexpr auto Requests = 60;
-    World running;
-    relayAnswer(running, std::chrono::milliseconds(20));
-    World crawling;
-    relayAnswer(crawling, std::chrono::milliseconds(100));
-    const auto sentRunning = sentOf(running, Requests);
-    const auto sentCrawling = sentOf(crawling, Requests);
-    EXPECT_GT(sentRunning, 45);
-    EXPECT_LT(sentCrawling, 2 * sentRunning / 3);
+    World fast;
+    relayAnswer(fast, std::chrono::milliseconds(20));
+    World slow;
+    relayAnswer(slow, std::chrono::milliseconds(100));
+    const auto sentWhenFast = countSent(fast, Requests);
+    const auto sentWhenSlow = countSent(slow, Requests);
+    EXPECT_GT(sentWhenFast, 45);
+    EXPECT_LT(sentWhenSlow, 2 * sentWhenFast / 3);
 }
