--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -93,14 +93,14 @@
     auto drain(std::function<void()> onDrained) -> void;
 
     auto apply(const passthrough::Event &event) -> void;
-    auto run(const passthrough::Send &action) -> void;
-    auto run(const passthrough::Cancel &action) -> void;
-    auto run(const passthrough::Deliver &action) -> void;
-    auto run(const passthrough::Refuse &action) -> void;
-    auto run(const passthrough::Break &action) -> void;
-    auto run(const passthrough::Complete &action) -> void;
-    auto run(const passthrough::TellCrashes &action) -> void;
-    auto run(const passthrough::LimitChanged &change) -> void;
+    auto execute(const passthrough::Send &action) -> void;
+    auto execute(const passthrough::Cancel &action) -> void;
+    auto execute(const passthrough::Deliver &action) -> void;
+    auto execute(const passthrough::Refuse &action) -> void;
+    auto execute(const passthrough::Break &action) -> void;
+    auto execute(const passthrough::Complete &action) -> void;
+    auto execute(const passthrough::TellCrashes &action) -> void;
+    auto execute(const passthrough::LimitChanged &change) -> void;
 
     auto handleRequest(RequestId id, BufferedRequestPointer message) -> void;
     auto handleCallerGone(RequestId id) -> void;
@@ -200,7 +200,7 @@
 auto Gateway::Impl::apply(const passthrough::Event &event) -> void
 {
     for (const auto &action : passthrough::step(*router, event, now())) {
-        std::visit([this](const auto &each) { run(each); }, action);
+        std::visit([this](const auto &each) { execute(each); }, action);
     }
 }
 
@@ -216,7 +216,7 @@
     };
 }
 
-auto Gateway::Impl::run(const passthrough::Send &action) -> void
+auto Gateway::Impl::execute(const passthrough::Send &action) -> void
 {
     const auto found = requests.find(action.request);
     if (found == requests.end()) {
@@ -236,7 +236,7 @@
     fleet.recordDispatch();
 }
 
-auto Gateway::Impl::run(const passthrough::Cancel &action) -> void
+auto Gateway::Impl::execute(const passthrough::Cancel &action) -> void
 {
     upstream.cancel(action.attempt);
     attempts.erase(action.attempt);
@@ -253,7 +253,7 @@
     accounting.responseDelivered(logContextOf(request), request.server, status, request.firstByteAt.value_or(at) - request.arrivedAt, at - request.arrivedAt);
 }
 
-auto Gateway::Impl::run(const passthrough::Deliver &action) -> void
+auto Gateway::Impl::execute(const passthrough::Deliver &action) -> void
 {
     const auto response = pendingResponses.extract(action.attempt);
     if (response) {
@@ -262,7 +262,7 @@
     completeRequest(action.request, action.status);
 }
 
-auto Gateway::Impl::run(const passthrough::Refuse &action) -> void
+auto Gateway::Impl::execute(const passthrough::Refuse &action) -> void
 {
     const auto node = requests.extract(action.request);
     if (node) {
@@ -271,7 +271,7 @@
     frontend.respond(action.request, makeRefusalResponse(action));
 }
 
-auto Gateway::Impl::run(const passthrough::Break &action) -> void
+auto Gateway::Impl::execute(const passthrough::Break &action) -> void
 {
     const auto node = requests.extract(action.request);
     if (node) {
@@ -280,19 +280,19 @@
     frontend.abortResponse(action.request);
 }
 
-auto Gateway::Impl::run(const passthrough::Complete &action) -> void
+auto Gateway::Impl::execute(const passthrough::Complete &action) -> void
 {
     frontend.endStream(action.request);
     completeRequest(action.request, OkStatus);
 }
 
-auto Gateway::Impl::run(const passthrough::TellCrashes &action) -> void
+auto Gateway::Impl::execute(const passthrough::TellCrashes &action) -> void
 {
     accounting.crashCounted(action);
     fleet.sendCrashReport({ .fingerprint = action.fingerprint, .crashes = action.crashes });
 }
 
-auto Gateway::Impl::run(const passthrough::LimitChanged &change) -> void
+auto Gateway::Impl::execute(const passthrough::LimitChanged &change) -> void
 {
     accounting.serverLimitChanged(change);
 }
--- a/src/gateway/upstream.h
+++ b/src/gateway/upstream.h
@@ -31,9 +31,10 @@
     /// The response head states the rate limit of the server in requests per second, summed over all entries; not set: no limit.
     std::function<void(AttemptId attempt, std::optional<double> perSecond)> onRateLimit;
     std::function<void(AttemptId attempt, int status, const http::Headers &headers)> onStreamStarted; ///< called right before the first onEvents
+    /// Bytes of a relayed stream: complete events, and at the end of the stream whatever follows the last one.
     std::function<void(AttemptId attempt, std::string_view events)> onEvents;
-    std::function<void(AttemptId attempt)> onStreamEnded;
-    std::function<void(AttemptId attempt, BufferedResponse response)> onResponse;
+    std::function<void(AttemptId attempt)> onStreamEnded;                         ///< a relayed stream was received completely
+    std::function<void(AttemptId attempt, BufferedResponse response)> onResponse; ///< a complete response, of which nothing was relayed
     std::function<void(AttemptId attempt, const AttemptFailure &failure)> onFailed;
 };
 
