--- a/src/gateway/fuzztests/inputs_fuzz_tests.cpp
+++ b/src/gateway/fuzztests/inputs_fuzz_tests.cpp
@@ -1,5 +1,5 @@
-// Whatever comes from outside is spoilt some thousand times and read, in a build that ends at the first bad access. The
-// readers may refuse what they get, by the error that they declare, and by nothing else.
+// Mutates valid external input some thousand times and decodes it, in a sanitizer build that stops at the first invalid access. Decoders
+// may reject the input only by the error that they declare.
 
 #include "gateway/directorystate.h"
 #include "gateway/eventsplitter.h"
@@ -56,7 +56,7 @@
                "\xc3\x28" } };
 }
 
-/// Reads \p valid as it is and then spoilt; \p Refusal is the only error that may come.
+/// Decodes \p valid unchanged and then mutated. \p DeclaredError is the only exception that may be thrown.
 template <typename DeclaredError>
 auto readMutated(const std::string &valid, const std::function<void(const std::string &)> &read) -> void
 {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Never thrown: for readers that refuse by what they return.
+/// Never thrown: for decoders that reject input by their return value.
 struct NoError {
 };
 
@@ -101,7 +101,7 @@
     readMutated<adapter::InvalidDocument>(entry, [](const std::string &text) { adapter::decodeEntry(text); });
 }
 
-TEST(InputsFuzzTests, answersOfTheStore)
+TEST(InputsFuzzTests, responsesOfTheStore)
 {
     const auto items = standins::itemsText(standins::serverKey("i-1"), makeServerText());
     ASSERT_TRUE(adapter::decodeItems({ .status = 200, .body = items }));
@@ -145,8 +145,8 @@
     });
 }
 
-/// What is split differs in no byte from what came, whatever the pieces in which it comes.
-TEST(InputsFuzzTests, streamsOfEvents)
+/// The splitter's output equals its input byte for byte, however the input is split into pieces.
+TEST(InputsFuzzTests, eventStreams)
 {
     auto mutator = makeMutator();
     for (auto round = 0; round < Rounds; ++round) {
--- a/src/gateway/tests/coldstart_tests.cpp
+++ b/src/gateway/tests/coldstart_tests.cpp
@@ -1,6 +1,7 @@
-// Sixty entries start within the same moment, as after a loss of power. Each of them read all of the store for itself: the
-// configuration, the servers, the entries, and took a lease to register. The store counted eight calls for each entry at once, when it
-// has most to do, and again at each restart; with 295 entries 2,360 calls, a tenth of what all callers' requests of that time are worth.
+// Guards against a thundering herd on the store when all entries start at once, as after a power failure. If each entry reads the
+// configuration, the servers and the entries for itself and acquires a lease, the store receives eight calls for each entry at the moment of
+// its highest load, and again at each restart. With 295 entries these are 2,360 calls, a tenth of the cost of all callers' requests in
+// that time.
 
 #include "core/passthrough/router.h"
 #include "gateway/accounting.h"
@@ -37,7 +38,7 @@
     return platform::configurationText(version, { route }, "portal", "roofers", { "key-1" });
 }
 
-/// What an entry of the fleet is made of, without callers and backend servers.
+/// The parts of an entry that take part in the fleet, without callers and backend servers.
 struct Entry {
     Entry(task::EventLoop &loop, const GatewaySettings &settings)
         : router(passthrough::makeRouter({ .entry = settings.name, .failureDomain = settings.failureDomain }))
@@ -72,7 +73,7 @@
 };
 
 struct ColdFleet {
-    /// \p deadSeeds: nobody answers at the addresses that are told at the start.
+    /// \p deadSeeds: nothing listens at the configured seed addresses.
     explicit ColdFleet(bool deadSeeds)
     {
         store.put(std::string(platform::ConfigurationKey), makeDocument(1));
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Until all are ready and know each other.
+    /// Runs until all entries are ready and know each other.
     auto runUntilWhole() -> bool
     {
         const auto isWhole = [](const std::unique_ptr<Entry> &entry) { return entry->isReady() && entry->fleet.otherAddresses().size() == Entries - 1; };
@@ -117,7 +118,7 @@
 
 } // namespace
 
-/// A few entries read the store, the others ask these. What others read of it may be old, at a tenth of the price.
+/// A few entries read the store, and the others query these. The others read the store only by stale reads, at a tenth of the cost.
 TEST(ColdStartTests, aColdFleetIsReadyWithFewCallsToTheStore)
 {
     ColdFleet fleet(false);
@@ -125,27 +126,27 @@
     EXPECT_LT(fleet.store.calls() - fleet.store.outdatedReads(), Entries) << "less than one for each entry";
 }
 
-/// The entries that are told at the start are gone. The first of the others to ask the store who is there reads it for the rest.
-TEST(ColdStartTests, aColdFleetWithoutItsSeedsIsReadyToo)
+/// The configured seeds are gone. The first other entry that reads the registrations from the store reads it for the rest.
+TEST(ColdStartTests, aColdFleetWithoutItsSeedsIsReady)
 {
     ColdFleet fleet(true);
     ASSERT_TRUE(fleet.runUntilWhole());
-    EXPECT_LT(fleet.store.calls() - fleet.store.outdatedReads(), 4 * Entries) << "half of what each for itself takes";
+    EXPECT_LT(fleet.store.calls() - fleet.store.outdatedReads(), 4 * Entries) << "half of the calls if each entry read for itself";
 }
 
-/// What callers see: keys refused for longer than the store was away. It turns every call down for some seconds, and each entry that got
-/// no confirmation read it for itself, again and again: 6,474 reads in 14 s, when the store could bear them least. Few try for all, and
-/// all have it again once it is back.
-TEST(ColdStartTests, fewEntriesTryAStoreThatIsAway)
+/// Guards against keys that are refused for longer than the store's outage. The store refuses every call for some seconds. If each entry
+/// without a confirmation reads it for itself, repeatedly, an overloaded store receives 6,474 reads in 14 s. Instead a few entries retry on
+/// behalf of all, and all of them recover once the store responds.
+TEST(ColdStartTests, fewEntriesRetryAnUnavailableStore)
 {
     ColdFleet fleet(false);
     ASSERT_TRUE(fleet.runUntilWhole());
     const auto before = fleet.store.calls();
     fleet.store.setBusy(true);
-    constexpr Duration Away = std::chrono::seconds(6);
+    constexpr Duration Outage = std::chrono::seconds(6);
     runUntil(
-        fleet.loop, []() { return false; }, Away);
-    EXPECT_LT(fleet.store.calls() - before, 4 * Entries) << "four times as many made each entry for itself";
+        fleet.loop, []() { return false; }, Outage);
+    EXPECT_LT(fleet.store.calls() - before, 4 * Entries) << "four times as many if each entry retried for itself";
     fleet.store.setBusy(false);
     EXPECT_TRUE(fleet.runUntilWhole());
 }
--- a/src/gateway/tests/directory_tests.cpp
+++ b/src/gateway/tests/directory_tests.cpp
@@ -15,7 +15,7 @@
 
 constexpr auto EntryKey = "auburnspread/entries/entry-1";
 
-/// Status of a request on a route that no server serves: 401 for an unknown key, else it waits or is refused.
+/// Status of a request on a route without any server: 401 for an unknown key, otherwise the request waits and is refused.
 auto statusOf(const Site &site, const std::string &key) -> std::string
 {
     Caller caller(site.callerAddress());
@@ -40,9 +40,9 @@
     EXPECT_NE(site.addresses().find("127.0.0.1:"), std::string::npos);
 }
 
-/// What callers see: one entry fewer for ever. The store ended the lease while it was away; the entry finds out at its next
-/// renewal and registers anew.
-TEST(DirectoryTests, anEntryWhoseLeaseEndedRegistersAnew)
+/// Guards against an entry that stays missing from the addresses permanently. The store ended the lease during an outage; the entry
+/// notices at its next renewal and registers again.
+TEST(DirectoryTests, anEntryWhoseLeaseEndedRegistersAgain)
 {
     const Site site;
     ASSERT_TRUE(waitUntil([&]() { return isRegistered(site); }));
@@ -50,9 +50,9 @@
     EXPECT_TRUE(waitUntil([&]() { return isRegistered(site); }));
 }
 
-/// What callers see: an entry that comes and goes in the list of addresses. The store grants a shorter lease than the entry asks
-/// for; an entry that renews by what it asked for has lost its registration before each renewal.
-TEST(DirectoryTests, theLeaseIsRenewedByTheTimeThatTheStoreGranted)
+/// Guards against an entry that alternately appears in and disappears from the list of addresses. The store grants a shorter lease than
+/// the entry requests; if the entry renews by the requested duration, it loses its registration before each renewal.
+TEST(DirectoryTests, theLeaseIsRenewedByTheGrantedDuration)
 {
     task::EventLoop loop;
     StoreStandin store(loop);
@@ -70,7 +70,7 @@
     EXPECT_GE(store.renewals(), 2U);
 }
 
-TEST(DirectoryTests, aNewConfigurationIsInForceWithoutARestart)
+TEST(DirectoryTests, aNewConfigurationComesIntoForceWithoutARestart)
 {
     Site site;
     EXPECT_EQ(statusOf(site, "key-2"), "401");
@@ -79,9 +79,9 @@
     EXPECT_EQ(statusOf(site, "key-1"), "401");
 }
 
-/// What an operator sees: a configuration that was accepted and never comes into force. The store has dropped the history
-/// in which it stood, so the watch can't go on; the whole document is read anew.
-TEST(DirectoryTests, aConfigurationWhoseHistoryWasDroppedIsReadAnew)
+/// Guards against an accepted configuration that never comes into force. The store has compacted the history that contains the change,
+/// so the watch cannot continue and the whole document has to be read again.
+TEST(DirectoryTests, aConfigurationWhoseHistoryWasDroppedIsReadAgain)
 {
     Site site;
     site.runOnLoop([](StoreStandin &store) { store.setBusy(true); });
@@ -93,22 +93,22 @@
     EXPECT_TRUE(waitUntil([&]() { return statusOf(site, "key-2") == "503"; }));
 }
 
-/// What an operator sees: a withdrawn key that still runs work. The store falls silent for this entry, so it can't hear of
-/// the withdrawal; after the bound no key passes, the entry says that it is not ready, and on the store's return it is.
+/// Guards against a withdrawn key that is still admitted. The store stops responding to this entry, so the entry cannot learn of the
+/// withdrawal. After the bound it admits no key and reports that it is not ready; it recovers when the store responds again.
 TEST(DirectoryTests, anEntryWithoutTheStoreRefusesKeysAndRecovers)
 {
     Site site("2600");
     site.runOnLoop([](StoreStandin &store) { store.setSilent(true); });
     EXPECT_TRUE(waitUntil([&]() { return site.readiness().find("503") != std::string::npos; }));
     EXPECT_EQ(statusOf(site, "key-1"), "503");
-    EXPECT_EQ(statusOf(site, "unknown"), "503") << "it can't know that the key is unknown";
+    EXPECT_EQ(statusOf(site, "unknown"), "503") << "it cannot know that the key is unknown";
     site.runOnLoop([](StoreStandin &store) { store.setSilent(false); });
     EXPECT_TRUE(waitUntil([&]() { return statusOf(site, "unknown") == "401"; }));
 }
 
-/// What callers see: a key that was taken away runs for longer than the operators now say. They shorten the bound while the entry
-/// runs; with the store away, the entry stops to admit keys by the new bound, not by the one that it was started with.
-TEST(DirectoryTests, aBoundThatChangesHoldsInARunningEntry)
+/// Guards against a withdrawn key that is admitted for longer than the operators now allow. They shorten the bound while the entry runs;
+/// during an outage of the store the entry stops admitting keys by the new bound, not by the one from its start.
+TEST(DirectoryTests, aChangedBoundAppliesToARunningEntry)
 {
     Site site("60000");
     site.runOnLoop([](StoreStandin &store) { store.setBusy(true); });
@@ -118,7 +118,7 @@
     EXPECT_TRUE(contains(site.metrics(), "reason=\"stale-configuration\"} 1"));
 }
 
-TEST(DirectoryTests, aListOfServersInPagesIsReadWhole)
+TEST(DirectoryTests, allPagesOfAListOfServersAreRead)
 {
     Site site;
     site.runOnLoop([](StoreStandin &store) { store.setPageSize(2); });
@@ -127,9 +127,9 @@
     }
 }
 
-/// What a caller sees: a quote cut off because its entry was restarted. The entry leaves: it is out of the addresses and
-/// not ready at once, ends the answer under way, and tells the caller to use its connection no more.
-TEST(DirectoryTests, aLeavingEntryEndsWhatItBegan)
+/// Guards against responses that are cut off when an entry restarts. A leaving entry is at once not ready and no longer named in the
+/// addresses. It completes the response in progress and asks the caller to close the connection.
+TEST(DirectoryTests, aLeavingEntryCompletesRequestsInProgress)
 {
     SiteWithServer served;
     auto &site = served.site;
--- a/src/gateway/tests/directorystate_tests.cpp
+++ b/src/gateway/tests/directorystate_tests.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST(DirectoryStateTests, aNewcomerGetsEverythingAndOthersWhatChanged)
+TEST(DirectoryStateTests, aNewEntryGetsEverythingAndOthersGetChanges)
 {
     auto state = makeState();
     const auto whole = decodeAnswer(encodeAnswer(makeAnswer(state, {}, Now)));
@@ -47,7 +47,7 @@
     const auto change = decodeAnswer(encodeAnswer(makeAnswer(state, known, Now)));
     EXPECT_EQ(change.configuration, whole.configuration);
     EXPECT_FALSE(change.entries);
-    EXPECT_FALSE(change.servers) << "what changed is enough";
+    EXPECT_FALSE(change.servers) << "the changes are enough";
     ASSERT_TRUE(change.serverChanges);
     EXPECT_FALSE(change.serverChanges->changed.front().isLeaving);
     ServerRecords list{ makeServer(true) };
@@ -56,9 +56,9 @@
     EXPECT_EQ(change.serversTag, state.tags.servers);
 }
 
-/// What callers see: every request refused after an outage of the store, although the servers live. Whoever asks shortly
-/// after the outage must hear that absent servers may be about to return.
-TEST(DirectoryStateTests, anOutageIsToldToThoseWhoAskLater)
+/// Guards against refusing every request after an outage of the store although the servers are alive. An entry that queries shortly after
+/// the outage must learn that absent servers may be about to register again.
+TEST(DirectoryStateTests, anOutageIsReportedToLaterQueries)
 {
     auto state = makeState();
     state.outageEndedAt = Now;
@@ -66,9 +66,9 @@
     EXPECT_FALSE(makeAnswer(state, {}, Now + std::chrono::seconds(3)).outageAge);
 }
 
-/// What a caller sees: a call cut off at a server that left two seconds ago. An entry that reads the store for others was cut
-/// off and is back; whoever asks it first gets the list from before. It must not replace a newer one.
-TEST(DirectoryStateTests, whatAReaderKnewBeforeItWasCutOffIsNotTakenOver)
+/// Guards against requests to a server that left two seconds ago. An entry that reads the store for others was partitioned and has
+/// returned; the first entries that query it get its old list, which must not replace a newer one.
+TEST(DirectoryStateTests, anOldListOfAPartitionedReaderIsNotApplied)
 {
     DirectoryState state;
     const passthrough::Server leaving{ .id = "i-1", .service = "engines", .isLeaving = true };
@@ -78,7 +78,7 @@
     EXPECT_TRUE(state.servers.front().isLeaving);
 }
 
-TEST(DirectoryStateTests, anAnswerTellsHowOldItsListIs)
+TEST(DirectoryStateTests, anAnswerContainsTheAgeOfItsList)
 {
     auto state = makeState();
     const auto answer = decodeAnswer(encodeAnswer(makeAnswer(state, state.tags, Now + std::chrono::seconds(2))));
@@ -104,14 +104,14 @@
     }
 }
 
-/// Two changes are heard of while the first one is on its way. When it arrives, the entry still lacks the second.
-TEST(DirectoryStateTests, aConfigurationIsOutdatedSinceANewerOneWasHeardOf)
+/// Two newer configurations are offered while the first one is being fetched. When it arrives, the entry still lacks the second.
+TEST(DirectoryStateTests, aConfigurationIsOutdatedSinceANewerOneWasOffered)
 {
     auto state = makeState();
     const auto at = [](int milliseconds) { return Now + std::chrono::milliseconds(milliseconds); };
     EXPECT_FALSE(outdatedSince(state));
     EXPECT_TRUE(recordOffer(state, 13, at(0)));
-    EXPECT_FALSE(recordOffer(state, 13, at(300))) << "heard of before";
+    EXPECT_FALSE(recordOffer(state, 13, at(300))) << "offered before";
     EXPECT_TRUE(recordOffer(state, 15, at(600)));
     EXPECT_EQ(outdatedSince(state), at(0));
     applyConfiguration(state, { .document = Document, .revision = 13 });
@@ -121,9 +121,9 @@
     EXPECT_FALSE(recordOffer(state, 16, at(900))) << "no newer one";
 }
 
-/// What callers see: one entry refuses everything, for good. Another one, whose memory is wrong, told it of a configuration that nobody
-/// wrote. The store's word that the known one is the newest, asked for after that, ends it.
-TEST(DirectoryStateTests, aConfigurationThatTheStoreDoesNotKnowOutdatesNothing)
+/// Guards against an entry that refuses every request permanently. Another entry with corrupt state offered a configuration that was
+/// never written. A later confirmation by the store that the known configuration is the newest clears the offer.
+TEST(DirectoryStateTests, anOfferUnknownToTheStoreIsDropped)
 {
     auto state = makeState();
     recordOffer(state, 1000, Now);
--- a/src/gateway/tests/documenttransfer_tests.cpp
+++ b/src/gateway/tests/documenttransfer_tests.cpp
@@ -22,8 +22,8 @@
 
 constexpr Duration Bound = std::chrono::seconds(30);
 
-/// Random bytes, which do not shrink when they are packed: as many parts as the size says, if the last one has some room for the
-/// packing.
+/// A document of random bytes, which do not shrink when they are packed. It has as many parts as its size implies, if Room is left in the
+/// last part for the overhead of packing.
 auto makeDocument(std::size_t size, unsigned seed) -> std::string
 {
     std::mt19937 random(seed);
@@ -35,19 +35,19 @@
 }
 constexpr std::size_t Room = 1000;
 
-/// An entry that sends the parts of a few documents, and may stop to do so.
+/// An entry that serves the parts of a few documents, and may stop responding.
 struct Reader {
     explicit Reader(task::EventLoop &loop)
         : server(loop)
     {
         server.route(std::string(DocumentPath), [this](const http::IncomingRequest &request, const http::Replier &replier) {
-            const auto question = parsePartQuery(request.query);
-            asked.push_back(question);
-            if (asked.size() > answers) {
+            const auto partQuery = parsePartQuery(request.query);
+            queries.push_back(partQuery);
+            if (queries.size() > answersBeforeFailure) {
                 replier.reply(503, "text/plain", "");
                 return;
             }
-            const auto part = readPart(documents, question.tag, question.from);
+            const auto part = readPart(documents, partQuery.tag, partQuery.from);
             replier.reply(part ? 200 : 404, "application/octet-stream", part.value_or(std::string_view()));
         });
         address = server.listen("127.0.0.1:0");
@@ -62,51 +62,51 @@
     http::Server server;
     std::string address;
     std::vector<OfferedDocument> documents;
-    std::vector<PartQuery> asked;
-    std::size_t answers = 1000; ///< before it answers no more
+    std::vector<PartQuery> queries;
+    std::size_t answersBeforeFailure = 1000; ///< number of requests before it stops responding
 };
 
 struct FetcherTests : testing::Test {
     task::EventLoop loop;
     http::Client client{ loop };
-    std::vector<ConfigurationSnapshot> taken;
+    std::vector<ConfigurationSnapshot> received;
     DocumentFetcher fetcher{ loop,
                              client,
                              0,
-                             { .onDocument = [this](const ConfigurationSnapshot &read) { taken.push_back(read); }, .onPartFailed = [](auto &&...) {} } };
+                             { .onDocument = [this](const ConfigurationSnapshot &read) { received.push_back(read); }, .onPartFailed = [](auto &&...) {} } };
 
-    auto runUntilTaken(std::size_t documents) -> void
+    auto runUntilReceived(std::size_t documents) -> void
     {
         runUntil(
-            loop, [&]() { return taken.size() >= documents; }, Bound);
+            loop, [&]() { return received.size() >= documents; }, Bound);
     }
 };
 
 } // namespace
 
-/// The entry that sends a document dies half-way. What came of it is kept, and the next entry is asked for the rest alone: otherwise a
-/// fleet that is restarted in turn could fetch the beginning of a large document again and again.
-TEST_F(FetcherTests, whatCameFromAnEntryThatDiedIsKept)
+/// The entry that serves a document dies half-way. The received parts are kept, and the next entry is asked only for the rest. Otherwise
+/// entries of a fleet in a rolling restart could fetch the beginning of a large document again and again.
+TEST_F(FetcherTests, partsFromAnEntryThatDiedAreKept)
 {
     Reader dying(loop);
     Reader other(loop);
     const auto document = makeDocument(5 * PartBytes - Room, 1);
     const auto offer = dying.put(document, 7);
     other.put(document, 7);
-    dying.answers = 3;
+    dying.answersBeforeFailure = 3;
     fetcher.setReaders({ dying.address, other.address });
     fetcher.fetch(offer);
-    runUntilTaken(1);
-    ASSERT_EQ(taken.size(), 1U);
-    EXPECT_TRUE(taken.front().document == document);
-    EXPECT_EQ(taken.front().revision, 7U);
-    EXPECT_EQ(other.asked.front().from, 3 * PartBytes);
-    EXPECT_EQ(dying.asked.size() + other.asked.size(), 6U) << "five parts and one question that was not answered";
+    runUntilReceived(1);
+    ASSERT_EQ(received.size(), 1U);
+    EXPECT_TRUE(received.front().document == document);
+    EXPECT_EQ(received.front().revision, 7U);
+    EXPECT_EQ(other.queries.front().from, 3 * PartBytes);
+    EXPECT_EQ(dying.queries.size() + other.queries.size(), 6U) << "five parts and one request without a response";
 }
 
-/// Operators write three documents while the first one is still on its way. Each is offered as it comes; the one that has begun ends
-/// first, and then the newest one is fetched. An entry that turned to each newer one would never have any.
-TEST_F(FetcherTests, aTransferThatHasBegunEndsBeforeANewerOne)
+/// Operators write three documents while the first one is being transferred. Each is offered as it is written. The transfer in progress
+/// completes first, and then the newest document is fetched. An entry that switched to each newer document would never receive any.
+TEST_F(FetcherTests, aTransferInProgressCompletesBeforeANewerOne)
 {
     Reader reader(loop);
     const auto first = makeDocument(3 * PartBytes - Room, 1);
@@ -115,25 +115,25 @@
     fetcher.fetch(reader.put(first, 7));
     fetcher.fetch(reader.put(makeDocument(3 * PartBytes - Room, 2), 8));
     fetcher.fetch(reader.put(last, 9));
-    runUntilTaken(2);
-    ASSERT_EQ(taken.size(), 2U);
-    EXPECT_TRUE(taken.front().document == first);
-    EXPECT_TRUE(taken.back().document == last);
+    runUntilReceived(2);
+    ASSERT_EQ(received.size(), 2U);
+    EXPECT_TRUE(received.front().document == first);
+    EXPECT_TRUE(received.back().document == last);
 }
 
-TEST_F(FetcherTests, aDocumentThatIsGoneIsGivenUpForTheNewerOne)
+TEST_F(FetcherTests, aDocumentThatIsGoneIsAbortedForTheNewerOne)
 {
     Reader reader(loop);
     const auto newer = makeDocument(PartBytes + 1, 2);
     fetcher.setReaders({ reader.address });
     fetcher.fetch({ .revision = 7, .tag = 1, .bytes = 10, .documentBytes = 10 });
     fetcher.fetch(reader.put(newer, 8));
-    runUntilTaken(1);
-    ASSERT_EQ(taken.size(), 1U);
-    EXPECT_TRUE(taken.front().document == newer);
+    runUntilReceived(1);
+    ASSERT_EQ(received.size(), 1U);
+    EXPECT_TRUE(received.front().document == newer);
 }
 
-TEST_F(FetcherTests, anAbsurdSizeIsNotFetched)
+TEST_F(FetcherTests, aDocumentBeyondTheSizeLimitIsNotFetched)
 {
     Reader reader(loop);
     auto offer = reader.put("{}", 7);
@@ -141,14 +141,14 @@
     fetcher.setReaders({ reader.address });
     fetcher.fetch(offer);
     fetcher.fetch(reader.put(makeDocument(1, 2), 8));
-    runUntilTaken(1);
-    ASSERT_EQ(reader.asked.size(), 1U);
-    EXPECT_EQ(taken.front().revision, 8U);
+    runUntilReceived(1);
+    ASSERT_EQ(reader.queries.size(), 1U);
+    EXPECT_EQ(received.front().revision, 8U);
 }
 
-/// What an operator sees: a key that was withdrawn still runs work at an entry that says it is up to date. It had heard that a newer
-/// configuration was the newest, and had not got it yet.
-TEST(DirectoryFollowerTests, aConfigurationIsNotConfirmedBeforeItIsThere)
+/// Guards against a withdrawn key that is admitted by an entry that considers itself up to date. The reader confirmed a newer configuration
+/// that the entry had not received yet.
+TEST(DirectoryFollowerTests, aConfigurationIsNotConfirmedBeforeItIsReceived)
 {
     task::EventLoop loop;
     DirectoryState reader{ .confirmedAt = task::monotonicNow(), .serversAt = task::monotonicNow() };
@@ -156,7 +156,7 @@
     DirectoryPage page(loop, reader);
 
     DirectoryTags known{ .configuration = 3 };
-    std::vector<std::uint64_t> confirmed; ///< revisions that the entry had when it heard that its configuration is the newest
+    std::vector<std::uint64_t> confirmed; ///< revision that the entry had at each confirmation
     DirectoryFollower follower(loop,
                                known,
                                0,
@@ -174,36 +174,36 @@
     EXPECT_EQ(confirmed, std::vector<std::uint64_t>{ 7 });
 }
 
-/// What callers see: entries that are ready a third of a second after all have restarted. Those that are to read the store for others had
-/// not read it yet when they were asked, were taken for lost, and were not asked again for seconds.
-TEST(DirectoryFollowerTests, anEntryThatHasJustStartedIsNotTakenForLost)
+/// Guards against a slow start after all entries have restarted. The entries assigned to read the store had not read it yet when they were
+/// queried, were considered lost, and were not queried again for seconds.
+TEST(DirectoryFollowerTests, anEntryThatHasJustStartedIsNotConsideredLost)
 {
     task::EventLoop loop;
     DirectoryState reader;
     DirectoryPage page(loop, reader);
     const DirectoryTags known;
-    std::vector<bool> fitness;
+    std::vector<bool> health;
     DirectoryFollower follower(loop,
                                known,
                                0,
                                {
                                    .onServersConfirmed = [](auto &&...) {},
-                                   .onReaderChecked = [&](const std::string &, bool isHealthy) { fitness.push_back(isHealthy); },
+                                   .onReaderChecked = [&](const std::string &, bool isHealthy) { health.push_back(isHealthy); },
                                    .onReachable = [](auto &&...) {},
                                });
     const auto address = page.listen("127.0.0.1:0");
     follower.follow({ address });
     runUntil(
         loop, [&]() { return follower.answeredAt() != TimePoint(); }, Bound);
-    EXPECT_TRUE(fitness.empty());
+    EXPECT_TRUE(health.empty());
     reader.confirmedAt = task::monotonicNow();
     reader.serversAt = task::monotonicNow();
     runUntil(
-        loop, [&]() { return !fitness.empty(); }, Bound);
-    EXPECT_EQ(fitness, std::vector<bool>{ true });
+        loop, [&]() { return !health.empty(); }, Bound);
+    EXPECT_EQ(health, std::vector<bool>{ true });
 }
 
-TEST(DocumentTransferTests, otherBytesThanTheOfferedOnesBeginAnew)
+TEST(DocumentTransferTests, aTransferWithWrongBytesRestarts)
 {
     const auto offered = makeOfferedDocument({ .document = "document", .revision = 1 });
     auto other = offered.bytes;
@@ -215,7 +215,7 @@
     }
 }
 
-RC_GTEST_PROP(DocumentTransferTests, everyDocumentArrivesPartByPart, ())
+RC_GTEST_PROP(DocumentTransferTests, everyDocumentIsTransferredPartByPart, ())
 {
     const auto size = *rc::gen::inRange<std::size_t>(1, 3 * PartBytes + 2);
     const auto document = makeDocument(size, 1);
@@ -230,13 +230,13 @@
     RC_ASSERT(outcome == PartOutcome::Complete);
     const auto read = unpackDocument(transfer).value();
     RC_ASSERT(read.document == document);
-    RC_ASSERT(makeOfferedDocument(read).offer == transfer.offer); // so that any entry can send the rest to one that has a part
+    RC_ASSERT(makeOfferedDocument(read).offer == transfer.offer); // any entry with the document can continue the transfer
     RC_ASSERT(!readPart(documents, transfer.offer.tag, transfer.offer.bytes));
 }
 
-/// Entries of two versions of the packing library may pack a document in different ways. One that fetched it offers the bytes that came,
-/// so that a transfer goes on at any entry that has fetched the same ones.
-TEST(DocumentTransferTests, whatCamePackedIsOfferedAsItCame)
+/// Entries with different versions of the compression library may pack a document differently. An entry that fetched the document offers the
+/// bytes it received, so that a transfer can continue at any entry that has fetched the same bytes.
+TEST(DocumentTransferTests, aPackedDocumentIsOfferedUnchanged)
 {
     const auto offered = makeOfferedDocument({ .document = "document", .revision = 1, .packed = "packed otherwise" });
     EXPECT_EQ(offered.bytes, "packed otherwise");
@@ -244,8 +244,8 @@
     EXPECT_NE(offered.offer.tag, makeOfferedDocument({ .document = "document", .revision = 1 }).offer.tag);
 }
 
-/// An offer that says less than its document has must not make an entry take over the beginning of it, nor fill its memory.
-TEST(DocumentTransferTests, aDocumentOfAnotherSizeThanOfferedIsNotRead)
+/// An offer with a wrong size must not make an entry apply a truncated document, nor exhaust its memory.
+TEST(DocumentTransferTests, aDocumentOfAnotherSizeThanOfferedIsRejected)
 {
     const auto offered = makeOfferedDocument({ .document = std::string(5000, 'a'), .revision = 1 });
     for (const std::uint64_t size : { 4999, 5001 }) {
@@ -255,8 +255,8 @@
     }
 }
 
-/// A list of routes says the same words over and over.
-TEST(DocumentTransferTests, aListOfRoutesTravelsInASixthOfItsSize)
+/// A list of routes is repetitive and compresses well.
+TEST(DocumentTransferTests, aListOfRoutesIsSentInASixthOfItsSize)
 {
     std::mt19937 random(7);
     std::vector<passthrough::Route> routes(1400);
--- a/src/gateway/tests/largedocument_tests.cpp
+++ b/src/gateway/tests/largedocument_tests.cpp
@@ -1,8 +1,8 @@
-// Operators wrote a configuration with many routes more, and it was acknowledged. Entries on narrow links went on routing by the
-// one before, and a few seconds later refused every request with a key, for good. An answer of another entry had to be whole within
-// 350 ms, one of the store within 600 ms. A document of 580 KB takes 460 ms over 10 Mbit/s, and one of 290 KB took as long where 63
-// entries asked the same one at once. What had come by then was thrown away and asked for anew, so the links stayed full of answers
-// that nobody kept. These lines settled it; the document had 290,221 bytes:
+// Guards against a large configuration that never comes into force. Operators wrote a configuration with many more routes, and it was
+// acknowledged. Entries on narrow links kept routing by the previous one, and a few seconds later permanently refused every request with a
+// key. A response of another entry had to be complete within 350 ms, one of the store within 600 ms. A document of 580 KB takes 460 ms over
+// 10 Mbit/s, and one of 290 KB took as long when 63 entries requested it from the same entry at once. The bytes received by then were
+// discarded and requested again, so the links stayed full of discarded responses. The log of an entry whose document had 290,221 bytes:
 //
 //     dependency-lost, ask-directory: receive 10.1.0.39:7180: timeout after 147456 bytes (reused connection)
 //     dependency-lost, read-configuration: receive 10.200.1.7:8064: timeout
@@ -32,14 +32,14 @@
 
 /// The largest value that the store takes.
 constexpr std::size_t LargestDocument = 1024UL * 1024;
-/// What a link of 10 Mbit/s carries in 350 ms.
-constexpr std::size_t CarriedInTime = 437500;
-/// A configuration is to be in force within 4 s. An answer that is cut off costs 350 ms, and the next question comes 300 ms later.
-constexpr std::size_t MostCutOff = 6;
-/// Ends a test that neither succeeds nor fails.
+/// Bytes that a link of 10 Mbit/s carries in 350 ms.
+constexpr std::size_t CarriedWithinTimeout = 437500;
+/// A configuration has to be in force within 4 s. A response that is cut off takes 350 ms, and the next request follows 300 ms later.
+constexpr std::size_t MaxCutOff = 6;
+/// Time limit of a test that neither succeeds nor fails.
 constexpr Duration Bound = std::chrono::seconds(30);
 
-/// Of letters in no order, so that it does not shrink much when it is packed.
+/// A document of random letters, which does not shrink much when it is packed.
 auto makeDocument(std::size_t size) -> std::string
 {
     std::mt19937_64 random(7);
@@ -53,34 +53,34 @@
 
 } // namespace
 
-TEST(LargeDocumentTests, aDocumentLargerThanTheLinkCarriesInOneAnswerArrives)
+TEST(LargeDocumentTests, aDocumentTooLargeForOneResponseIsReceived)
 {
     const auto document = makeDocument(LargestDocument);
     task::EventLoop loop;
     DirectoryState state;
     applyConfiguration(state, { .document = document, .revision = 1 });
     DirectoryPage page(loop, state);
-    const NarrowLink link(loop, page.listen("127.0.0.1:0"), { .bytes = CarriedInTime });
+    const NarrowLink link(loop, page.listen("127.0.0.1:0"), { .bytes = CarriedWithinTimeout });
 
-    std::string taken;
-    const DirectoryTags nothing;
+    std::string received;
+    const DirectoryTags noTags;
     DirectoryFollower follower(loop,
-                               nothing,
+                               noTags,
                                0,
-                               { .onConfiguration = [&](const ConfigurationSnapshot &read) { taken = read.document; },
+                               { .onConfiguration = [&](const ConfigurationSnapshot &read) { received = read.document; },
                                  .onConfigurationOffered = [](auto &&...) {},
                                  .onReaderChecked = [](auto &&...) {},
                                  .onReachable = [](auto &&...) {} });
     follower.follow({ link.address() });
     runUntil(
-        loop, [&]() { return !taken.empty() || link.cutOff() >= MostCutOff; }, Bound);
+        loop, [&]() { return !received.empty() || link.cutOff() >= MaxCutOff; }, Bound);
 
-    EXPECT_TRUE(taken == document) << taken.size() << " bytes taken over, " << link.cutOff() << " answers cut off";
+    EXPECT_TRUE(received == document) << received.size() << " bytes received, " << link.cutOff() << " responses cut off";
 }
 
-/// An entry reads the store itself where it has nobody to ask. The link passes 160 KB each 125 ms: the store's answer takes about a
-/// second, and never pauses for as long as a connection that went silent.
-TEST(LargeDocumentTests, anAnswerOfTheStoreMayTakeLongAsLongAsItComes)
+/// An entry without other entries to query reads the store itself. The link passes 160 KB every 125 ms, so the store's response takes about
+/// a second, and its pauses stay shorter than the silence timeout of a connection.
+TEST(LargeDocumentTests, aResponseOfTheStoreMayTakeLongWhileBytesArrive)
 {
     const auto document = makeDocument(LargestDocument);
     task::EventLoop loop;
@@ -88,11 +88,11 @@
     store.put(std::string(ConfigurationKey), document);
     const NarrowLink link(loop, store.address(), { .bytes = 160000, .pause = std::chrono::milliseconds(125) });
 
-    std::string taken;
+    std::string received;
     Directory directory(loop,
                         { .store = link.address(), .self = { .name = "entry-1" } },
                         {
-                            .onConfiguration = [&](const ConfigurationSnapshot &read) { taken = read.document; },
+                            .onConfiguration = [&](const ConfigurationSnapshot &read) { received = read.document; },
                             .onConfigurationConfirmed = [](TimePoint) {},
                             .onServers = [](const ServersSnapshot &) {},
                             .onRegistrations = [](auto &&...) {},
@@ -102,13 +102,13 @@
                         });
     directory.setReadsForPeers(true);
     runUntil(
-        loop, [&]() { return !taken.empty() || link.cutOff() >= MostCutOff; }, Bound);
+        loop, [&]() { return !received.empty() || link.cutOff() >= MaxCutOff; }, Bound);
 
-    EXPECT_TRUE(taken == document) << taken.size() << " bytes taken over, " << link.cutOff() << " answers cut off";
+    EXPECT_TRUE(received == document) << received.size() << " bytes received, " << link.cutOff() << " responses cut off";
 }
 
-/// An entry that hears nothing of the others asks the store several times in three seconds. It has the document already, so what the
-/// store sends must not grow with it: 60 entries that read it over and over kept their links full.
+/// An entry that receives nothing from the others queries the store several times in three seconds. It already has the document, so the size
+/// of the responses must not depend on it: 60 entries that read the document repeatedly kept their links full.
 TEST(LargeDocumentTests, aKnownDocumentIsConfirmedWithoutBeingRead)
 {
     task::EventLoop loop;
--- a/src/gateway/tests/messages_tests.cpp
+++ b/src/gateway/tests/messages_tests.cpp
@@ -8,7 +8,7 @@
 using namespace auburnspread;
 using namespace auburnspread::gateway;
 
-TEST(PeerMessageTests, messagesReadBack)
+TEST(PeerMessageTests, messagesAreDecodedAsEncoded)
 {
     const passthrough::PeerReported report{
         .entry = "entry-1",
@@ -25,7 +25,7 @@
     EXPECT_EQ(std::get<passthrough::CrashesHeard>(decodePeerMessage(encodePeerMessage(crashes))).fingerprint, crashes.fingerprint);
 }
 
-TEST(PeerMessageTests, limitsReadBack)
+TEST(PeerMessageTests, limitsAreDecodedAsEncoded)
 {
     using Limit = passthrough::PeerReported::Limit;
     const passthrough::PeerReported report{
@@ -44,7 +44,7 @@
     EXPECT_FALSE(read.uses[2].limit);
 }
 
-/// Guards against a sum that is longer than a datagram and so is lost as a whole.
+/// Guards against a sum that exceeds the size of a datagram and is therefore lost as a whole.
 TEST(PeerMessageTests, aSumOfServersThatAllHaveALimitFitsIntoADatagram)
 {
     constexpr auto Servers = 1000;
@@ -64,9 +64,10 @@
     EXPECT_GE(sum.uses.size(), 100U);
 }
 
-/// What callers see: sessions that are read again on another engine. After a restart an entry tells what several engines hold, more
-/// than a datagram takes; what does not fit must follow, and must not replace what the first message tells of load.
-TEST(PeerMessageTests, partsThatDoNotFitFollow)
+/// Guards against sessions whose prompts are computed again on another engine. After a restart an entry reports the cache contents of
+/// several engines, which exceed one datagram. The remaining parts must follow in further messages, which must not replace the load that
+/// the first message reports.
+TEST(PeerMessageTests, partsBeyondOneDatagramAreSentInFurtherMessages)
 {
     passthrough::PeerReported report{ .entry = "entry-1" };
     for (auto engine = 0; engine < 4; ++engine) {
@@ -89,8 +90,8 @@
     EXPECT_EQ(parts, 800U);
 }
 
-/// What an operator sees: an entry that ends by itself. Anybody can send a datagram; whatever is in it must be an error and
-/// no more.
+/// Guards against an entry that terminates on an invalid datagram. Any host can send a datagram, and invalid content must only cause an
+/// error.
 RC_GTEST_PROP(PeerMessageTests, anyBytesAreAMessageOrAnError, (const std::string &bytes))
 {
     try {
@@ -100,7 +101,7 @@
     }
 }
 
-RC_GTEST_PROP(EventSplitterTests, noByteIsLostWhereverTheStreamIsCut, (const std::vector<std::string> &pieces))
+RC_GTEST_PROP(EventSplitterTests, noByteIsLostWhereverTheStreamIsSplit, (const std::vector<std::string> &pieces))
 {
     EventSplitter splitter;
     std::string whole;
@@ -112,7 +113,7 @@
     RC_ASSERT(passed + splitter.takeRemainder() == whole);
 }
 
-TEST(EventSplitterTests, onlyWholeEventsPass)
+TEST(EventSplitterTests, onlyCompleteEventsAreForwarded)
 {
     EventSplitter splitter;
     EXPECT_EQ(splitter.feed("id: 1\ndata: a\n"), "");
@@ -122,14 +123,14 @@
     EXPECT_EQ(splitter.lastEventId(), "2");
 }
 
-TEST(EventSplitterTests, wholeEventsAreCounted)
+TEST(EventSplitterTests, completeEventsAreCounted)
 {
     EXPECT_EQ(countEvents(""), 0U);
     EXPECT_EQ(countEvents("id: 1\ndata: a\n\n"), 1U);
     EXPECT_EQ(countEvents("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: comment\n\n"), 3U);
 }
 
-TEST(EventSplitterTests, anEventWithoutEndIsNoticed)
+TEST(EventSplitterTests, anUnterminatedEventIsDetected)
 {
     EventSplitter splitter(100);
     splitter.feed(std::string(101, 'x'));
--- a/src/gateway/tests/outage_tests.cpp
+++ b/src/gateway/tests/outage_tests.cpp
@@ -1,12 +1,14 @@
-// An entry was cut from the store for some seconds and heard of the backend servers from others meanwhile. When it reached the store
-// again and read for others, a server that had just left was missing from the list. The entry took that for a registration that had
-// lapsed while the store was away, and sent requests there for two seconds more:
+// Guards against requests to a server that has left. An entry was cut off from the store for some seconds and received the list of backend
+// servers from other entries in the meantime. When it reached the store again and read for others, a server that had just left was missing
+// from the list. The entry treated this as a registration that had expired during an outage of the store, and kept sending requests to the
+// server for two seconds:
 //
-//     25.047 s  the server leaves, as the store says
+//     25.047 s  the server leaves according to the store
 //     26.014 s  the entry reads the list without it
-//     27.649 s  a request reaches the server from this entry
+//     27.649 s  a request from this entry reaches the server
 //
-// Its own calls had failed three seconds before, and the last word of another entry was 1.9 s old: two facts that did not belong together.
+// The entry's own calls had failed three seconds earlier, and the last update from another entry was 1.9 s old. The two facts are unrelated
+// and do not indicate an outage.
 
 #include "gateway/clock.h"
 #include "gateway/directory.h"
@@ -26,11 +28,11 @@
 namespace
 {
 
-/// Longer than the gap after which an entry whose calls fail takes servers for lapsed.
+/// Longer than the gap after which an entry whose calls fail assumes that registrations have expired.
 constexpr Duration Gap = std::chrono::milliseconds(1700);
 
-struct ReaderOfStore {
-    ReaderOfStore()
+struct StoreReader {
+    StoreReader()
     {
         store.put(std::string(adapter::standins::ConfigurationKey), "{}");
         const passthrough::Server server{ .service = "portal", .address = "127.0.0.1:9", .failureDomain = "a", .slots = 6 };
@@ -71,9 +73,9 @@
 
 } // namespace
 
-TEST(OutageTests, callsThatFailedBeforeOthersToldOfTheServersShowNoOutage)
+TEST(OutageTests, callsThatFailedBeforeAnUpdateFromAnotherEntryIndicateNoOutage)
 {
-    ReaderOfStore reader;
+    StoreReader reader;
     reader.readUntilListed();
     reader.failFor(std::chrono::seconds(1));
     reader.directory.setReadsForPeers(false);
@@ -85,9 +87,9 @@
     EXPECT_FALSE(reader.list->outageEndedAt);
 }
 
-TEST(OutageTests, callsThatFailedSinceShowOne)
+TEST(OutageTests, callsThatFailedSinceTheLastUpdateIndicateAnOutage)
 {
-    ReaderOfStore reader;
+    StoreReader reader;
     reader.readUntilListed();
     reader.failFor(Gap + std::chrono::seconds(1));
     reader.readUntilListed();
@@ -96,11 +98,11 @@
     EXPECT_TRUE(reader.list->outageEndedAt);
 }
 
-/// Guards against an entry that reads the store for others and never learns of the backend servers: a question for the configuration was
-/// under way when it began to read.
-TEST(OutageTests, whoBeginsToReadWhileAQuestionIsUnderWayReadsTheServersToo)
+/// Guards against an entry that reads the store for others and never reads the backend servers, because a read of the configuration was in
+/// flight when it started.
+TEST(OutageTests, anEntryThatStartsReadingDuringACallReadsTheServersToo)
 {
-    ReaderOfStore reader;
+    StoreReader reader;
     reader.store.setBusy(true);
     reader.directory.readStale();
     runUntil(reader.loop, [&reader]() { return reader.isReachable == false; });
--- a/src/gateway/tests/overdueconfiguration_tests.cpp
+++ b/src/gateway/tests/overdueconfiguration_tests.cpp
@@ -1,8 +1,9 @@
-// Operators wrote a configuration that moved a route to another service, and it was acknowledged. Sixty entries on narrow links heard at
-// once that there was a newer one and could not get it. Seconds later they refused requests with a key, as nobody confirmed what they
-// had, but went on sending those without one to the old service. An entry that hears nothing may be cut off from the store, and serves
-// on by what it has; these knew that it was out of date. Two requests broke the promise, both without a key, 3.1 and 3.3 s after the
-// acknowledgement, routed by version 8 where 10 was in force. The entries' lines just before:
+// Guards against routing by a configuration that is known to be outdated. Operators wrote a configuration that moved a route to another
+// service, and it was acknowledged. Sixty entries on narrow links learned at once that a newer configuration existed but could not fetch it.
+// Seconds later they refused requests with a key, as their configuration was no longer confirmed, but kept sending requests without a key to
+// the old service. An entry that receives nothing may be cut off from the store, and keeps serving by the configuration it has; these entries
+// knew that theirs was outdated. Two requests without a key, 3.1 and 3.3 s after the acknowledgement, were routed by version 8 although
+// version 10 was in force. The entries' log just before:
 //
 //     dependency-lost, ask-directory: receive 10.1.0.39:7180: timeout
 //     readiness-changed, configuration not confirmed
@@ -36,8 +37,8 @@
 {
 
 constexpr auto Host = "quotes.example";
-/// Longer than the time in which a configuration is to be in force, 2 s, and two questions that are not answered. That the time is kept
-/// is checked in virtual time, by the router's tests; here it only bounds how long nothing is seen.
+/// Longer than the time within which a configuration has to be in force, 2 s, plus two queries without a response. The router's tests check
+/// that time in virtual time; here the value only bounds how long a test observes that nothing happens.
 constexpr Duration InForce = std::chrono::seconds(4);
 
 auto makeDocument(std::uint64_t version) -> std::string
@@ -50,7 +51,7 @@
     return platform::configurationText(version, { route }, "portal", "roofers", { "key-1" });
 }
 
-/// Another entry that reads the store. It tells of its configuration, and sends parts of it only if asked to.
+/// Another entry that reads the store. It offers its configuration, and serves parts of it only while \c sendsParts is set.
 struct Reader {
     explicit Reader(task::EventLoop &loop)
         : server(loop)
@@ -61,8 +62,8 @@
             replier.reply(200, "application/cbor", encodeAnswer(makeAnswer(state, parseDirectoryQuery(request.query), now())));
         });
         server.route(std::string(DocumentPath), [this](const http::IncomingRequest &request, const http::Replier &replier) {
-            const auto question = parsePartQuery(request.query);
-            const auto part = sendsParts ? readPart(state.configurations, question.tag, question.from) : std::nullopt;
+            const auto partQuery = parsePartQuery(request.query);
+            const auto part = sendsParts ? readPart(state.configurations, partQuery.tag, partQuery.from) : std::nullopt;
             replier.reply(part ? 200 : 503, "application/octet-stream", part.value_or(std::string_view()));
         });
         address = server.listen("127.0.0.1:0");
@@ -74,9 +75,9 @@
     bool sendsParts = false;
 };
 
-/// An entry that asks the reader. It read the store once, at its start, and has had no answer of it since.
-struct Following {
-    explicit Following(std::uint64_t version = 1)
+/// An entry that queries the reader. It read the store once, at its start, and the store has not responded since.
+struct FollowingEntry {
+    explicit FollowingEntry(std::uint64_t version = 1)
     {
         store.put(std::string(platform::ConfigurationKey), makeDocument(version));
         for (const auto *name : { "reader-1", "reader-2", "reader-3" }) {
@@ -105,11 +106,11 @@
 
     auto offer(std::uint64_t version) -> void
     {
-        constexpr std::uint64_t Later = 1000; // than any revision of the stand-in
+        constexpr std::uint64_t Later = 1000; // later than any revision of the stand-in
         applyConfiguration(reader.state, { .document = makeDocument(version), .revision = Later + version });
     }
 
-    /// What becomes of a request without a key.
+    /// Sends a request without a key. \return its refusal, if it is refused
     auto requestWithoutKey() -> std::optional<Refuse>
     {
         const passthrough::RequestArrived request{ .request = RequestId{ ++lastRequest }, .host = Host, .path = "/fetch/1" };
@@ -149,7 +150,7 @@
 
 TEST(OverdueConfigurationTests, anEntryThatKnowsOfANewerConfigurationStopsRoutingByTheOldOne)
 {
-    Following entry;
+    FollowingEntry entry;
     EXPECT_FALSE(entry.isOutOfDate());
     entry.offer(2);
     EXPECT_TRUE(runUntil(entry.loop, [&]() { return entry.isOutOfDate(); }));
@@ -163,19 +164,19 @@
     EXPECT_EQ(passthrough::statusOf(*entry.router, now()).configurationVersion, 2U);
 }
 
-/// The store is away and nobody knows of a newer configuration: what needs no key is served, for as long as it takes.
-TEST(OverdueConfigurationTests, anEntryThatKnowsOfNoneServesOn)
+/// The store is unavailable and no entry knows of a newer configuration: requests that need no key are served, however long the outage lasts.
+TEST(OverdueConfigurationTests, anEntryThatKnowsOfNoNewerConfigurationKeepsServing)
 {
-    Following entry;
+    FollowingEntry entry;
     EXPECT_FALSE(runUntil(
         entry.loop, [&]() { return entry.isOutOfDate(); }, InForce));
 }
 
-/// Operators wrote an older version again, and an entry that started since has it in force. The others keep the newer one, as versions
-/// never go back; they have seen what is offered and don't wait for it.
-TEST(OverdueConfigurationTests, anOlderVersionThatWasWrittenAgainStopsNobody)
+/// Operators wrote an older version again, and an entry that started afterwards has it in force. The others keep the newer version, as
+/// versions never go back. They have read the offered document, so the offer does not make their configuration outdated.
+TEST(OverdueConfigurationTests, anOlderVersionWrittenAgainStopsNoEntry)
 {
-    Following entry(5);
+    FollowingEntry entry(5);
     entry.reader.sendsParts = true;
     entry.offer(3);
     EXPECT_FALSE(runUntil(
--- a/src/gateway/tests/repeatedread_tests.cpp
+++ b/src/gateway/tests/repeatedread_tests.cpp
@@ -1,10 +1,8 @@
-// An entry that hears nothing of the others for some time reads the store itself, and again after 0.8 s if it still hears nothing. Where the
-// first answer takes longer than that, a second one is on its way beside it, and a third: over a narrow link they delay each other, as
-// in the incident of the large configuration, and what the store says of the servers is mixed up. With 727 KB, 86 entries that started at
-// once were ready after 0.2 to 2.6 s; a relay that carries 1.28 MB a second showed why, when one read had been asked for and was asked
-// for again twice before its end:
-//
-//     4195747 bytes passed, of an answer that has 1398104
+// Guards against overlapping reads of the store. An entry that receives nothing from the others for some time reads the store itself, and
+// again after 0.8 s if it still receives nothing. If the first response takes longer than that, a second and a third one are in flight at
+// the same time. Over a narrow link they delay each other, and the lists of servers in them are mixed. With a configuration of 727 KB, 86
+// entries that started at once were ready after 0.2 to 2.6 s. A relay that carries 1.28 MB a second showed the cause: a read that was
+// repeated twice before its end transferred 4195747 bytes for a response of 1398104 bytes.
 
 #include "gateway/clock.h"
 #include "gateway/directory.h"
@@ -29,7 +27,7 @@
 /// The largest value that the store takes.
 constexpr std::size_t LargestDocument = 1024UL * 1024;
 
-/// A store, and an entry's dealings with it over a link.
+/// A store, and an entry that reads it over a narrow link.
 struct StoreReader {
     StoreReader()
     {
@@ -44,12 +42,12 @@
     task::EventLoop loop;
     StoreStandin store{ loop };
     standins::NarrowLink link{ loop, store.address(), { .bytes = 160000, .pause = std::chrono::milliseconds(125) } };
-    std::string taken;
+    std::string received;
     std::vector<ServersSnapshot> lists;
     Directory directory{ loop,
                          { .store = link.address(), .self = { .name = "entry-1" } },
                          {
-                             .onConfiguration = [this](const ConfigurationSnapshot &read) { taken = read.document; },
+                             .onConfiguration = [this](const ConfigurationSnapshot &read) { received = read.document; },
                              .onConfigurationConfirmed = [](TimePoint) {},
                              .onServers = [this](const ServersSnapshot &read) { lists.push_back(read); },
                              .onRegistrations = [](auto &&...) {},
@@ -61,32 +59,32 @@
 
 } // namespace
 
-/// The entry asks again, and becomes one that reads the store for others, while the document is on its way.
-TEST(RepeatedReadTests, aDocumentThatIsOnItsWayIsNotAskedForAgain)
+/// The entry repeats the read, and is assigned to read the store for others, while the document is being transferred.
+TEST(RepeatedReadTests, aDocumentInTransferIsNotRequestedAgain)
 {
     StoreReader reader;
     reader.directory.readOnce();
     runUntil(reader.loop, [&]() { return reader.link.passed() > LargestDocument / 4; });
     reader.directory.readOnce();
     reader.directory.setReadsForPeers(true);
-    runUntil(reader.loop, [&]() { return !reader.taken.empty(); });
-    EXPECT_TRUE(reader.taken == reader.document);
+    runUntil(reader.loop, [&]() { return !reader.received.empty(); });
+    EXPECT_TRUE(reader.received == reader.document);
     EXPECT_LT(reader.link.passed(), 2 * LargestDocument) << "one document as base64 and some lists";
 }
 
-/// What callers see: requests sent to a server that has left. The first answer was taken for the one to the second question, and so for
-/// younger than it is; when the second one came, the list had every server twice.
-TEST(RepeatedReadTests, aListOfServersIsOneAnswerToOneQuestion)
+/// Guards against requests to a server that has left. The first response was treated as the response to the second request, and thus as
+/// newer than it is. When the second response arrived, the list contained every server twice.
+TEST(RepeatedReadTests, aListOfServersComesFromOneResponse)
 {
     StoreReader reader;
     reader.directory.readOnce();
-    const auto firstAskedBy = now();
+    const auto firstRequestedBefore = now();
     reader.directory.readOnce();
     runUntil(reader.loop, [&]() { return !reader.lists.empty(); });
     reader.directory.readOnce();
     runUntil(reader.loop, [&]() { return reader.lists.size() >= 2; });
     ASSERT_GE(reader.lists.size(), 2U);
-    EXPECT_LE(reader.lists.front().asOf, firstAskedBy);
+    EXPECT_LE(reader.lists.front().asOf, firstRequestedBefore);
     for (const auto &list : reader.lists) {
         EXPECT_EQ(list.servers.size(), 3U);
     }
--- a/src/gateway/tests/serverchanges_tests.cpp
+++ b/src/gateway/tests/serverchanges_tests.cpp
@@ -14,7 +14,7 @@
 
 constexpr TimePoint Now(std::chrono::hours(1));
 
-/// Servers by number, each with a state.
+/// Servers by number, each with its leaving state.
 auto makeList(const std::map<std::uint8_t, bool> &servers) -> ServerRecords
 {
     ServerRecords list;
@@ -35,8 +35,8 @@
     return list;
 }
 
-/// What an entry that knows \p known makes of a reader's answer.
-auto ask(DirectoryState &known, const DirectoryState &reader) -> DirectoryAnswer
+/// Applies the reader's answer to the state of an entry that queries it.
+auto query(DirectoryState &known, const DirectoryState &reader) -> DirectoryAnswer
 {
     auto answer = decodeAnswer(encodeAnswer(makeAnswer(reader, known.tags, Now)));
     if (answer.serverChanges) {
@@ -51,7 +51,7 @@
 
 using Servers = std::map<std::uint8_t, bool>;
 
-RC_GTEST_PROP(ServerChangesTests, changesMakeOneListOfAnother, (const Servers &one, const Servers &other))
+RC_GTEST_PROP(ServerChangesTests, changesTurnOneListIntoAnother, (const Servers &one, const Servers &other))
 {
     const auto before = makeList(one);
     const auto after = makeList(other);
@@ -63,39 +63,39 @@
     RC_ASSERT((tagOf(before) == tagOf(after)) == (before == after));
 }
 
-RC_GTEST_PROP(ServerChangesTests, anEntryThatAsksNowAndThenKnowsTheReadersList, (const std::vector<std::pair<Servers, bool>> &lists))
+RC_GTEST_PROP(ServerChangesTests, anEntryThatQueriesOccasionallyHasTheReadersList, (const std::vector<std::pair<Servers, bool>> &lists))
 {
     DirectoryState reader;
-    DirectoryState asker;
+    DirectoryState querier;
     std::uint64_t revision = 0;
     for (const auto &[servers, asks] : lists) {
         applyServers(reader, { .servers = makeList(servers), .revision = ++revision, .asOf = Now });
         if (asks) {
-            ask(asker, reader);
-            RC_ASSERT(asker.servers == reader.servers);
-            RC_ASSERT(asker.tags.servers == reader.tags.servers);
+            query(querier, reader);
+            RC_ASSERT(querier.servers == reader.servers);
+            RC_ASSERT(querier.tags.servers == reader.tags.servers);
         }
     }
 }
 
 /// Guards against a change of one server that sends the whole list to every entry.
-TEST(ServerChangesTests, aChangeOfOneServerIsSmallHoweverManyThereAre)
+TEST(ServerChangesTests, aChangeOfOneServerIsSmallInALargeFleet)
 {
-    constexpr std::size_t MostBytes = 300;
+    constexpr std::size_t MaxBytes = 300;
     DirectoryState reader;
-    DirectoryState asker;
+    DirectoryState querier;
     auto servers = makeFleet(3000);
     applyServers(reader, { .servers = servers, .revision = 1, .asOf = Now });
-    EXPECT_TRUE(ask(asker, reader).servers) << "whoever knows none gets all";
+    EXPECT_TRUE(query(querier, reader).servers) << "an entry without a list gets the whole list";
     servers[7].isLeaving = true;
     applyServers(reader, { .servers = servers, .revision = 2, .asOf = Now });
-    EXPECT_LT(encodeAnswer(makeAnswer(reader, asker.tags, Now)).size(), MostBytes);
-    ask(asker, reader);
-    EXPECT_EQ(asker.servers, reader.servers);
+    EXPECT_LT(encodeAnswer(makeAnswer(reader, querier.tags, Now)).size(), MaxBytes);
+    query(querier, reader);
+    EXPECT_EQ(querier.servers, reader.servers);
 }
 
-/// Guards against a list that is known by nobody else: a change is taken for one of another list.
-TEST(ServerChangesTests, aChangeOfAnotherListIsNotTakenOver)
+/// Guards against a corrupted list, which results if a delta is applied to a list other than the one it was made for.
+TEST(ServerChangesTests, aChangeOfAnotherListIsNotApplied)
 {
     DirectoryState state;
     applyServers(state, { .servers = makeFleet(3), .revision = 1, .asOf = Now });
