--- a/src/core/passthrough/tests/manyservers_tests.cpp
+++ b/src/core/passthrough/tests/manyservers_tests.cpp
@@ -136,5 +136,5 @@
     removeLapsedServers(table, back + ReturnTime);
     EXPECT_FALSE(findServer(table, "e1"));
     applyServerChanges(table, { .removed = { "e2" }, .asOf = back + ReturnTime, .outageEndedAt = back }, back + ReturnTime);
-    EXPECT_FALSE(findServer(table, "e2")) << "it stood in a list since";
+    EXPECT_FALSE(findServer(table, "e2")) << "a list after the outage contained it";
 }
--- a/src/core/passthrough/tests/strain_tests.cpp
+++ b/src/core/passthrough/tests/strain_tests.cpp
@@ -65,7 +65,7 @@
     EXPECT_FALSE(isStrained(makePace(0, 20), Start + Second)) << "nothing is known yet";
     EXPECT_FALSE(isStrained(makePace(4, 20), Start + Second)) << "ends after five seconds";
     EXPECT_TRUE(isStrained(makePace(2, 20), Start + Second)) << "would end after ten";
-    EXPECT_FALSE(isStrained(makePace(2, 0), Start + Second)) << "nobody guessed its length";
+    EXPECT_FALSE(isStrained(makePace(2, 0), Start + Second)) << "its length is not estimated";
 }
 
 TEST(StrainTests, anAnswerIsStrainedIfItPausesTooLong)
