--- a/src/core/ordering/ordering.cpp
+++ b/src/core/ordering/ordering.cpp
@@ -148,7 +148,7 @@
 
     auto planDomain(const std::string &domain, std::uint32_t &gapServers) -> void
     {
-        const auto maxServers = situation_.scaling.most;
+        const auto maxServers = situation_.scaling.maxServers;
         const auto onDemand = count(domain, Kind::OnDemand);
         const auto preemptible = count(domain, Kind::Preemptible);
         const auto base = std::min(baseServers(domain), maxServers);
@@ -177,7 +177,7 @@
     {
         const auto unavailable = state_.unavailableUntil.find({ situation_.service, domain, Kind::Preemptible });
         const auto isAvailable = unavailable == state_.unavailableUntil.end() || now_ >= unavailable->second;
-        const auto maxServers = situation_.scaling.most;
+        const auto maxServers = situation_.scaling.maxServers;
         if (live >= maxServers || capacity == 0 || !isAvailable) {
             return;
         }
--- a/src/core/ordering/tests/ordering_tests.cpp
+++ b/src/core/ordering/tests/ordering_tests.cpp
@@ -18,7 +18,7 @@
 {
     return {
         .service = "engines",
-        .scaling = { .least = 1, .most = 6, .startTime = 4s, .preemptiblePrice = 0.2, .prices = { { "a", 1.0 }, { "b", 0.8 } } },
+        .scaling = { .minServers = 1, .maxServers = 6, .startTime = 4s, .preemptiblePrice = 0.2, .prices = { { "a", 1.0 }, { "b", 0.8 } } },
     };
 }
 
--- a/src/core/passthrough/actions.h
+++ b/src/core/passthrough/actions.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the router of the pass-through face wants done, in order.
+/// Output actions of the pass-through router. The adapter carries them out in the order in which they are returned.
 
 #pragma once
 
@@ -21,45 +21,45 @@
 struct Send {
     RequestId request{};
     AttemptId attempt{};
-    std::string server; ///< id; another server at this address must not run the request
+    std::string server; ///< server id; a different server at the same address must not run the request
     std::string address;
-    std::string workspace;                ///< that the key belongs to; empty: none
-    int rank = 0;                         ///< of urgency, 0 first: by the route's tier, within it by the workspace's
-    Duration remaining{};                 ///< until the request's deadline
+    std::string workspace;                ///< workspace that the key belongs to; empty: none
+    int rank = 0;                         ///< priority, 0 is the most urgent: by the route's tier, then by the workspace's tier
+    Duration remaining{};                 ///< time left until the request's deadline
     std::string lastEventId;              ///< resume after this event; empty: from the beginning
-    bool isStream = false;                ///< relay each event as it arrives
+    bool isStream = false;                ///< forward each event as it arrives
     bool isRepeat = false;                ///< the request was sent before
-    std::optional<Failure> repeatedAfter; ///< of the attempt before; not set: this is the first
-    Duration startTimeout{};              ///< without any answer by then the attempt has failed
-    Duration silenceTimeout{};            ///< a stream without a further event for this long has failed
+    std::optional<Failure> repeatedAfter; ///< failure of the previous attempt; not set: this is the first attempt
+    Duration startTimeout{};              ///< the attempt fails if no response starts within this time
+    Duration silenceTimeout{};            ///< a stream fails if no further event arrives within this time
     std::string fetchFrom;                ///< address of an engine to copy KV cache from; empty: none
-    /// \name Why this server, for logs
+    /// \name Reasons for the choice of the server, for logs
     /// @{
     Duration estimatedStart{};        ///< expected time to the first byte
-    std::uint32_t promptTokens = 0;   ///< of the request
-    std::uint32_t unreadTokens = 0;   ///< of these, that the server is expected to read
-    std::uint32_t fetchedTokens = 0;  ///< of these, that it copies from another engine
-    std::uint32_t requestsBefore = 0; ///< on the server, of all entries
-    std::uint32_t tokensBefore = 0;   ///< of prompts that wait there
-    std::uint32_t roomTokens = 0;     ///< that all engines may still be given to read
-    std::uint32_t waitingTokens = 0;  ///< of prompts that wait at all entries
-    int preference = 0;               ///< place of the server among those of the request's session, from 1; 0: none
+    std::uint32_t promptTokens = 0;   ///< length of the request's prompt
+    std::uint32_t unreadTokens = 0;   ///< prompt tokens that the server is expected to process
+    std::uint32_t fetchedTokens = 0;  ///< prompt tokens that the server copies from another engine
+    std::uint32_t requestsBefore = 0; ///< requests of all entries that are in flight on the server
+    std::uint32_t tokensBefore = 0;   ///< prompt tokens that wait on the server
+    std::uint32_t roomTokens = 0;     ///< prompt tokens that all engines together can still accept
+    std::uint32_t waitingTokens = 0;  ///< prompt tokens that are queued at all entries
+    int preference = 0;               ///< rank of the server among the preferred servers of the session, from 1; 0: not among them
     /// @}
 };
 
-/// Close the attempt's connection; whatever still arrives is dropped.
+/// Close the attempt's connection and discard whatever still arrives on it.
 struct Cancel {
     AttemptId attempt{};
 };
 
-/// Give the caller the whole answer of this attempt.
+/// Send the caller the buffered response of this attempt.
 struct Deliver {
     RequestId request{};
     AttemptId attempt{};
     int status = 0;
 };
 
-/// The final answer of a request that gets none from a backend server, at once.
+/// Send the caller a final response for a request that gets none from a backend server.
 struct Refuse {
     RequestId request{};
     Reason reason{};
@@ -67,37 +67,37 @@
     int status = 0;
     std::optional<Duration> retryAfter;
     std::string peer;          ///< backend server concerned; empty: none
-    Duration informationAge{}; ///< how old the configuration is that decided; for logs
+    Duration informationAge{}; ///< age of the configuration that the decision was based on; for logs
 };
 
-/// End the answer that was begun so that it can't be taken for complete.
-struct Break {
+/// Terminate a response that has started, in a way that the caller can't mistake for its end.
+struct AbortAnswer {
     RequestId request{};
     Reason reason{};
     std::string peer;
 };
 
-/// A stream was relayed to its end.
+/// A stream was forwarded to its end.
 struct Complete {
     RequestId request{};
 };
 
-/// Tell the other entries that \c crashes backend servers broke off while they ran this request.
-struct TellCrashes {
+/// Report to the other entries that \c crashes backend servers dropped the connection while they ran this request.
+struct ReportCrashes {
     Fingerprint fingerprint{};
     std::uint32_t crashes = 0;
 };
 
-/// This entry believes from now on that a backend server takes requests at this rate; for logs.
-struct LimitChanged {
+/// The rate limit that this entry applies to a backend server changed; for logs.
+struct RateLimitChanged {
     std::string server;
-    std::optional<double> perSecond; ///< from all entries together; not set: any
-    Duration age{};                  ///< of the answer that said so
-    std::uint32_t sharers = 0;       ///< entries that send there
-    bool isSharer = false;           ///< this entry is one of them
+    std::optional<double> perSecond; ///< requests from all entries together; not set: no limit
+    Duration age{};                  ///< time since the response that stated the limit
+    std::uint32_t sharers = 0;       ///< number of entries that send requests to the server
+    bool isSharer = false;           ///< whether this entry is one of them
 };
 
-using Action = std::variant<Send, Cancel, Deliver, Refuse, Break, Complete, TellCrashes, LimitChanged>;
+using Action = std::variant<Send, Cancel, Deliver, Refuse, AbortAnswer, Complete, ReportCrashes, RateLimitChanged>;
 using Actions = std::vector<Action>;
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/events.h
+++ b/src/core/passthrough/events.h
@@ -1,5 +1,5 @@
 /// \file
-/// What can happen to the router of the pass-through face. Plain data; an adapter turns sockets and timers into it.
+/// Input events of the pass-through router. They are plain data: an adapter translates socket and timer activity into them.
 
 #pragma once
 
@@ -17,29 +17,30 @@
 namespace auburnspread::passthrough
 {
 
-/// A part of a prompt. Parts of equal id have equal content, so an engine that keeps one need not read it again.
+/// A segment of a prompt. Segments with the same id have the same content, so an engine that has one in its prefix cache
+/// does not process it again.
 struct PromptPart {
     std::uint64_t id = 0;
     std::uint32_t tokens = 0;
 };
 
 struct Prompt {
-    std::uint32_t tokens = 0;       ///< to be read
-    std::uint32_t answerTokens = 0; ///< to be generated at most
-    std::uint32_t likelyTokens = 0; ///< to be generated, as the caller guesses: right at the median, often far off; 0: no guess
-    std::vector<PromptPart> parts;  ///< in order; the last is the request's own
+    std::uint32_t tokens = 0;               ///< length of the prompt
+    std::uint32_t maxAnswerTokens = 0;      ///< upper bound of the tokens to generate
+    std::uint32_t expectedAnswerTokens = 0; ///< the caller's estimate of the tokens to generate: good at the median, often far off; 0: none given
+    std::vector<PromptPart> parts;          ///< in prompt order; the last part belongs to this request alone
 };
 
-/// A request whose head and body were read in full.
+/// The head and the body of a request were read completely.
 struct RequestArrived {
     RequestId request{};
-    std::string callerId; ///< the caller's name for this attempt, for logs
+    std::string callerId; ///< the caller's identifier of this attempt, for logs
     std::string host;
-    std::string path; ///< with the query
-    std::string key;  ///< of a workspace; empty: none
+    std::string path; ///< including the query
+    std::string key;  ///< API key of a workspace; empty: none
     std::optional<Duration> deadline;
     Prompt prompt;
-    Fingerprint fingerprint{}; ///< of method, host, path, key and body
+    Fingerprint fingerprint{}; ///< hash of method, host, path, key and body
     std::string lastEventId;   ///< the caller resumes a stream after this event; empty: from the beginning
 };
 
@@ -48,31 +49,31 @@
     RequestId request{};
 };
 
-/// The head of an answer, or the first event of a stream, arrived.
+/// The response head, or the first event of a stream, arrived from the backend server.
 struct AttemptStarted {
     AttemptId attempt{};
-    bool goesToCaller = false; ///< as it comes; false: the answer is kept until it is whole
+    bool isForwarded = false; ///< the response is forwarded to the caller as it arrives; false: it is buffered until it is complete
 };
 
-/// More of a stream arrived.
+/// More events of a stream arrived.
 struct AttemptProgress {
     AttemptId attempt{};
-    std::uint32_t events = 1; ///< that came since the last word
+    std::uint32_t events = 1; ///< events since the previous AttemptProgress
 };
 
-/// The head of an answer arrived and said at which rate its server takes requests.
-struct LimitStated {
+/// A response head arrived that states the rate limit of its server.
+struct RateLimitReported {
     AttemptId attempt{};
-    std::optional<double> perSecond; ///< from all entries together; not set: any
+    std::optional<double> perSecond; ///< requests from all entries together; not set: no limit
 };
 
-/// A whole answer was received; nothing of it has gone to the caller.
+/// A complete response was buffered; nothing of it has been sent to the caller.
 struct AttemptAnswered {
     AttemptId attempt{};
     int status = 0;
 };
 
-/// A stream ended as complete; all of it has gone to the caller.
+/// A stream ended as complete; all of it has been sent to the caller.
 struct AttemptFinished {
     AttemptId attempt{};
 };
@@ -80,112 +81,113 @@
 struct AttemptFailed {
     AttemptId attempt{};
     Failure failure{};
-    bool answerBegun = false; ///< something of this request's answer has gone to the caller
-    std::string lastEventId;  ///< last event that has gone to the caller; empty: none
+    bool answerBegun = false; ///< a part of this request's response has been sent to the caller
+    std::string lastEventId;  ///< last event that has been sent to the caller; empty: none
 };
 
 struct ConfigurationAdopted {
     Configuration configuration;
 };
 
-/// The configuration in force here was the newest at \c asOf.
+/// The entry's current configuration was the newest one at \c asOf.
 struct ConfigurationConfirmed {
     TimePoint asOf;
 };
 
-/// Other entries have a newer configuration than the one in force here; this one knows that, and is about to fetch it.
+/// Other entries have a newer configuration than this entry, which knows that and is about to fetch it.
 struct ConfigurationOutdated {
-    std::optional<TimePoint> since; ///< it was heard of; not set: there is none any more
+    std::optional<TimePoint> since; ///< when this entry learnt of the newer version; not set: the entry is up to date again
 };
 
-/// After the registry was unreachable, servers whose registration lapsed meanwhile need about two seconds to be back.
-constexpr Duration ReturnTime = std::chrono::milliseconds(2200);
+/// After an outage of the registry, servers whose registration expired during it need about two seconds to register again.
+constexpr Duration ReregistrationTime = std::chrono::milliseconds(2200);
 
-/// The whole list of backend servers.
+/// A snapshot of the list of backend servers.
 struct ServersListed {
     std::vector<Server> servers;
     TimePoint asOf;
-    std::optional<TimePoint> outageEndedAt; ///< the list could not be read for a while before
+    std::optional<TimePoint> outageEndedAt; ///< end of an outage during which the list could not be read
 };
 
-/// What changed in the list that was told last.
+/// The difference to the last list of backend servers.
 struct ServersChanged {
-    std::vector<Server> changed;      ///< as they are now; new ones too
-    std::vector<std::string> removed; ///< ids
+    std::vector<Server> changed;      ///< new state of changed and added servers
+    std::vector<std::string> removed; ///< server ids
     TimePoint asOf;
     std::optional<TimePoint> outageEndedAt; ///< see ServersListed
 };
 
-/// Entries that are alive, this one included.
+/// The entries that are alive, this entry included.
 struct EntriesCounted {
     std::uint32_t entries = 1;
-    std::vector<std::string> names; ///< of these
-    bool isGuess = false;           ///< nobody has told yet
+    std::vector<std::string> names; ///< names of these entries
+    bool isProvisional = false;     ///< the membership has not been received yet
 };
 
-/// Between two reports of an entry to the others: a burst fills an engine within some hundred milliseconds. With 100 ms, 3 in 100
-/// fewer quotes were on time in the bursts of a large fleet; 30 ms brought no more.
+/// Interval of an entry's load reports to its peers. A burst fills an engine within a few hundred milliseconds. With 100 ms, 3 % fewer
+/// quotes were on time during bursts in a large fleet; 30 ms brought no further gain.
 constexpr Duration ReportInterval = std::chrono::milliseconds(50);
-/// Between two reports where requests were sent meanwhile: in a large fleet an entry sends few, and each is told at once.
-constexpr Duration LeastReportInterval = std::chrono::milliseconds(20);
+/// Shortest interval between two reports if requests were sent in between. In a large fleet an entry sends few requests, and
+/// reports each of them at once.
+constexpr Duration MinReportInterval = std::chrono::milliseconds(20);
 
-/// Whose requests a report counts.
+/// The entries whose requests a report counts.
 enum class ReportScope {
-    Entry,         ///< those of the entry that sends it
-    FailureDomain, ///< of all entries of its failure domain
-    Fleet,         ///< of all entries, the one that hears it included
+    Entry,         ///< the entry that sends the report
+    FailureDomain, ///< all entries of the sender's failure domain
+    Fleet,         ///< all entries, the receiver included
 };
 
-/// What another entry has in flight, or many entries together.
+/// A load report: the requests that another entry, or a group of entries, has in flight.
 struct PeerReported {
-    /// At which rate a server takes requests, as an answer said.
+    /// The rate limit that a response of a server stated.
     struct Limit {
-        std::optional<double> perSecond; ///< from all entries together; not set: any again
-        Duration age{};                  ///< of the answer
+        std::optional<double> perSecond; ///< requests from all entries together; not set: the limit was removed
+        Duration age{};                  ///< time since that response
     };
-    struct Use {
-        std::string server;              ///< id
-        std::uint32_t inFlight = 0;      ///< requests
-        std::uint32_t unreadTokens = 0;  ///< of prompts whose answers have not begun
-        std::uint32_t heldTokens = 0;    ///< of memory, by all requests
-        std::uint32_t waitingTokens = 0; ///< of prompts that wait at the entry for this server
-        std::uint32_t shortPrompts = 0;  ///< of the requests, those with a short prompt
-        Duration ejectedFor{};           ///< that it is out of use because it fails requests; 0: it is not
-        std::optional<Limit> limit;      ///< not set: nothing was said lately
-        std::uint32_t sentLately = 0;    ///< requests; see serverlimit.h
-        std::vector<PromptPart> sent;    ///< shared parts of prompts that were sent there lately
+    struct ServerUsage {
+        std::string server;              ///< server id
+        std::uint32_t inFlight = 0;      ///< number of requests in flight
+        std::uint32_t unreadTokens = 0;  ///< tokens of prompts whose response has not started
+        std::uint32_t heldTokens = 0;    ///< cache memory that all of the requests occupy, in tokens
+        std::uint32_t waitingTokens = 0; ///< tokens of prompts that are queued at the entry for this server
+        std::uint32_t shortPrompts = 0;  ///< number of requests in flight with a short prompt
+        Duration ejectedFor{};           ///< remaining time of an ejection for failed requests; 0: not ejected
+        std::optional<Limit> limit;      ///< not set: no recent response stated a limit
+        std::uint32_t sentLately = 0;    ///< number of requests in the window of the rate limit; see serverlimit.h
+        std::vector<PromptPart> sent;    ///< shared parts of prompts that were recently sent to the server
     };
     struct Arrivals {
         std::string service;
-        double perSecond = 0; ///< requests, of about the last second
+        double perSecond = 0; ///< request rate over about the last second
     };
-    std::string entry;         ///< who says so
-    std::string failureDomain; ///< of the entry that says so
+    std::string entry;         ///< name of the sender
+    std::string failureDomain; ///< failure domain of the sender
     ReportScope scope = ReportScope::Entry;
-    std::uint32_t entries = 1; ///< whose requests it counts
-    bool isRelayed = false;    ///< by an entry that got it, to others of its failure domain that need it
-    bool isRest = false;       ///< holds what parts of prompts did not fit into the report before it, and nothing else
-    std::vector<Use> uses;
+    std::uint32_t entries = 1;   ///< number of entries whose requests are counted
+    bool isRelayed = false;      ///< forwarded by an entry that received it to other entries of its failure domain that need it
+    bool isContinuation = false; ///< holds only the prompt parts that did not fit into the previous report
+    std::vector<ServerUsage> uses;
     std::vector<Arrivals> arrivals;
 };
 
-/// An engine told which parts of prompts its cache holds.
+/// An engine listed the prompt parts in its prefix cache.
 struct CacheListed {
-    std::string server; ///< id
+    std::string server; ///< server id
     std::vector<PromptPart> parts;
 };
 
 /// Another entry saw backend servers crash while they ran this request.
-struct CrashesHeard {
+struct CrashesReported {
     Fingerprint fingerprint{};
     std::uint32_t crashes = 0;
 };
 
-/// The entry is about to stop: what arrives from now on is refused.
+/// The entry is about to stop and refuses every request that arrives from now on.
 struct ClosingStarted {
 };
 
-/// Time has passed.
+/// A periodic timer fired.
 struct Tick {
 };
 
@@ -193,7 +195,7 @@
                            CallerGone,
                            AttemptStarted,
                            AttemptProgress,
-                           LimitStated,
+                           RateLimitReported,
                            AttemptAnswered,
                            AttemptFinished,
                            AttemptFailed,
@@ -205,7 +207,7 @@
                            EntriesCounted,
                            PeerReported,
                            CacheListed,
-                           CrashesHeard,
+                           CrashesReported,
                            ClosingStarted,
                            Tick>;
 
--- a/src/core/passthrough/internal/arriving.cpp
+++ b/src/core/passthrough/internal/arriving.cpp
@@ -14,19 +14,20 @@
 namespace
 {
 
-struct Identified {
+struct RouteMatch {
     const Route *route = nullptr;
     const Workspace *workspace = nullptr; ///< null: the route needs no key
 };
 
-/// Failure: an entry that is cut off from the store, or has not got the newest configuration yet, does not know a new route or key.
-/// Symptom: it answers 404 or 401 to a proper request, which the caller takes for final. In doubt it answers 503 instead.
-auto doubt(const RouterState &state, Reason reason) -> Reason
+/// An entry that is cut off from the store, or does not have the newest configuration yet, does not know new routes and keys. It must not
+/// answer a valid request with 404 or 401, which the caller takes as final.
+/// \return \p reason if the configuration is up to date, otherwise the reason that leads to status 503
+auto reasonUnlessOutdated(const RouterState &state, Reason reason) -> Reason
 {
-    return isFresh(state, state.now) && !state.outdatedSince ? reason : Reason::StaleConfiguration;
+    return isConfigurationFresh(state, state.now) && !state.outdatedSince ? reason : Reason::StaleConfiguration;
 }
 
-auto identify(const RouterState &state, const RequestArrived &call, Identified &found) -> std::optional<Reason>
+auto authorize(const RouterState &state, const RequestArrived &call, RouteMatch &found) -> std::optional<Reason>
 {
     if (state.closing) {
         return Reason::Draining;
@@ -34,26 +35,26 @@
     if (!state.table) {
         return Reason::NoConfiguration;
     }
-    // An entry that can't confirm its configuration may still have the newest one, and goes on serving what needs no key. This one knows
-    // that a newer one is in force: routed by the old one, a request could reach a service that it must not reach any more.
-    if (isOverdue(state, state.now)) {
+    // An entry that can't confirm its configuration may still have the newest one and continues to serve routes that need no key. An
+    // entry that knows of a newer configuration does not: the old routes could lead a request to a service that it must no longer reach.
+    if (isConfigurationOverdue(state, state.now)) {
         return Reason::StaleConfiguration;
     }
     found.route = state.table->findRoute(call.host, call.path);
     if (found.route == nullptr) {
-        return doubt(state, Reason::UnknownRoute);
+        return reasonUnlessOutdated(state, Reason::UnknownRoute);
     }
     if (!state.table->configuration().checksKeys || !found.route->needsKey) {
         return std::nullopt;
     }
-    if (!isFresh(state, state.now)) {
+    if (!isConfigurationFresh(state, state.now)) {
         return Reason::StaleConfiguration;
     }
     found.workspace = state.table->findWorkspace(call.key);
-    return found.workspace == nullptr ? std::optional(doubt(state, Reason::UnknownKey)) : std::nullopt;
+    return found.workspace == nullptr ? std::optional(reasonUnlessOutdated(state, Reason::UnknownKey)) : std::nullopt;
 }
 
-/// Spreads requests over the route's services by weight; equal requests of one caller go to the same one.
+/// Distributes requests over the route's services by weight, in the order of their arrival.
 auto chooseService(const Route &route, std::uint64_t order) -> std::string
 {
     std::uint64_t total = 0;
@@ -63,7 +64,7 @@
     if (total == 0) {
         return route.shares.empty() ? std::string() : route.shares.front().service;
     }
-    constexpr std::uint64_t Stride = 0x9e3779b97f4a7c15ULL; // successive arrivals land far from each other
+    constexpr std::uint64_t Stride = 0x9e3779b97f4a7c15ULL; // spreads successive arrivals evenly over the weights
     auto turn = (order * Stride) % total;
     for (const auto &share : route.shares) {
         if (turn < share.weight) {
@@ -74,31 +75,32 @@
     return route.shares.back().service;
 }
 
-/// Until when a request waits for a server. A stream that has not begun by its target is late, and engines that could not
-/// take it by then are overloaded: its caller is told at once that nothing ran, instead of being kept until it gives up.
-auto latestWaitOf(const Request &request) -> TimePoint
+/// Latest time until which a request is queued. Engines that can't accept a stream within a part of its target are overloaded, and
+/// its response would be late. The caller is then refused early, with the information that nothing ran, instead of waiting until it
+/// gives up.
+auto queueDeadlineOf(const Request &request) -> TimePoint
 {
-    constexpr double StreamPart = 0.5; // at 0.7, 3 in 100 fewer were on time in a burst
-    constexpr Duration LeastStreamWait = std::chrono::milliseconds(200);
-    constexpr int OtherDivisor = 2;
-    const auto half = request.arrived + (request.deadline - request.arrived) / OtherDivisor;
+    constexpr double StreamWaitFraction = 0.5; // with 0.7, 3 % fewer requests were on time in a burst
+    constexpr Duration MinStreamWait = std::chrono::milliseconds(200);
+    constexpr int TimeoutDivisor = 2;
+    const auto half = request.arrived + (request.deadline - request.arrived) / TimeoutDivisor;
     if (request.route->repeatability != Repeatability::Stream) {
         return half;
     }
-    const auto wait = scaled(request.route->target, StreamPart);
-    return std::min(half, request.arrived + std::max(wait, LeastStreamWait));
+    const auto wait = scaled(request.route->target, StreamWaitFraction);
+    return std::min(half, request.arrived + std::max(wait, MinStreamWait));
 }
 
-/// Whether its caller has waited before. Failure: a caller that was refused comes back when its answer can't be on time any
-/// more, and takes the place of one whose still can. Symptom: under a lasting burst nobody is on time. A caller that comes
-/// back has less time left than callers of this route have at first.
-auto hasWaitedBefore(RouterState &state, const Request &request) -> bool
+/// Whether the caller probably retries a refused request. Such a request can't be on time any more; if it were dispatched before
+/// requests that still can, no request would be on time during a long burst. A retry is recognised by its deadline, which is shorter
+/// than that of first tries on this route.
+auto isCallerRetry(RouterState &state, const Request &request) -> bool
 {
-    constexpr double Usual = 0.95; // first tries differ by a few milliseconds on the way
+    constexpr double FirstTryFraction = 0.95; // deadlines of first tries differ by a few milliseconds of network delay
     const auto given = request.call.deadline.value_or(request.route->timeout);
     auto &longest = state.longestDeadlines[request.route->name];
     longest = std::max(longest, given);
-    return given < scaled(longest, Usual);
+    return given < scaled(longest, FirstTryFraction);
 }
 
 auto refuseArrival(RouterState &state, const RequestArrived &call, Reason reason, Actions &actions) -> void
@@ -113,7 +115,7 @@
     });
 }
 
-/// Order of urgency, 0 first: the route's tier decides, and among requests of one tier that of the workspace.
+/// Priority of a request, 0 is the most urgent: by the route's tier, then by the workspace's tier.
 auto rankOf(const Route &route, const Workspace *workspace) -> int
 {
     constexpr int WorkspaceTiers = 3;
@@ -121,15 +123,15 @@
     return route.tier * WorkspaceTiers + std::clamp(ofWorkspace, 0, WorkspaceTiers - 1);
 }
 
-auto admit(RouterState &state, const RequestArrived &call, const Identified &identified) -> Request &
+auto admit(RouterState &state, const RequestArrived &call, const RouteMatch &match) -> Request &
 {
-    const auto &route = *identified.route;
+    const auto &route = *match.route;
     auto &request = state.requests[call.request];
     request.call = call;
     request.table = state.table;
     request.route = &route;
-    request.workspace = identified.workspace == nullptr ? "" : identified.workspace->name;
-    request.rank = rankOf(route, identified.workspace);
+    request.workspace = match.workspace == nullptr ? "" : match.workspace->name;
+    request.rank = rankOf(route, match.workspace);
     request.order = ++state.lastOrder;
     request.tieBreak = XXH64(&request.order, sizeof request.order, state.seed);
     request.service = chooseService(route, request.order);
@@ -137,11 +139,11 @@
     request.hasMoreUrgentTiers = state.table->hasMoreUrgentTiers(route);
     request.arrived = state.now;
     request.deadline = state.now + std::min(route.timeout, call.deadline.value_or(route.timeout));
-    request.latestWait = latestWaitOf(request);
+    request.queueDeadline = queueDeadlineOf(request);
     request.lastEventId = call.lastEventId;
-    request.late = route.hasPrompt && hasWaitedBefore(state, request);
-    state.due.insert({ request.latestWait, call.request });
-    state.due.insert({ request.deadline, call.request });
+    request.isLate = route.hasPrompt && isCallerRetry(state, request);
+    state.dueChecks.insert({ request.queueDeadline, call.request });
+    state.dueChecks.insert({ request.deadline, call.request });
     return request;
 }
 
@@ -158,17 +160,17 @@
 
 auto acceptRequest(RouterState &state, const RequestArrived &call, Actions &actions) -> void
 {
-    Identified identified;
-    if (const auto reason = identify(state, call, identified)) {
+    RouteMatch match;
+    if (const auto reason = authorize(state, call, match)) {
         refuseArrival(state, call, *reason, actions);
         return;
     }
-    if (isWithheld(state, call.fingerprint)) {
+    if (isQuarantined(state, call.fingerprint)) {
         refuseArrival(state, call, Reason::Quarantined, actions);
         return;
     }
-    auto &request = admit(state, call, identified);
-    noteArrival(state.pools[request.service].arrivals, state.now);
+    auto &request = admit(state, call, match);
+    recordArrival(state.pools[request.service].arrivals, state.now);
     enqueue(state, request);
     dispatchService(state, request.service, actions);
 }
--- a/src/core/passthrough/internal/arriving.h
+++ b/src/core/passthrough/internal/arriving.h
@@ -1,5 +1,5 @@
 /// \file
-/// From arrival to the queue: route, key, service.
+/// Admission of a request: finds its route, workspace and service and puts it into the queue.
 
 #pragma once
 
@@ -10,7 +10,7 @@
 
 auto acceptRequest(RouterState &state, const RequestArrived &call, Actions &actions) -> void;
 
-/// Whether the request's key is still one of its workspace's in the newest configuration known here.
+/// Whether the request's key still belongs to its workspace in this entry's current configuration.
 auto isKeyValid(const RouterState &state, const Request &request) -> bool;
 
 } // namespace auburnspread::passthrough::detail
--- a/src/core/passthrough/internal/crashes.h
+++ b/src/core/passthrough/internal/crashes.h
@@ -1,9 +1,9 @@
 /// \file
-/// Requests that break the backend servers that run them.
+/// Quarantine of requests that crash backend servers.
 ///
-/// Failure: a request crashes each server that begins it, and its caller sends it again and again, to any entry. Symptom:
-/// one server after the other goes down. Connections that broke before any answer are counted by the request's
-/// fingerprint, over all entries; at the bound it is not sent any more. A whole answer clears the count.
+/// A request that crashes every server that runs it, and that its caller retries at any entry, would take down one server after the
+/// other. Connections that break before any part of a response are therefore counted by the request's fingerprint, over all entries.
+/// A request whose count reaches the limit is no longer sent. A complete response clears the count.
 
 #pragma once
 
@@ -12,10 +12,13 @@
 namespace auburnspread::passthrough::detail
 {
 
-auto noteCrash(RouterState &state, Fingerprint fingerprint, Actions &actions) -> void;
-auto hearCrashes(RouterState &state, const CrashesHeard &heard) -> void;
+/// Counts a crash seen by this entry and reports it to the other entries.
+auto recordCrash(RouterState &state, Fingerprint fingerprint, Actions &actions) -> void;
+/// Combines the count of another entry with this entry's count.
+auto mergeReportedCrashes(RouterState &state, const CrashesReported &report) -> void;
 auto clearCrashes(RouterState &state, Fingerprint fingerprint) -> void;
-auto isWithheld(const RouterState &state, Fingerprint fingerprint) -> bool;
+/// Whether a request with this fingerprint must not be sent.
+auto isQuarantined(const RouterState &state, Fingerprint fingerprint) -> bool;
 auto expireCrashes(RouterState &state) -> void;
 
 } // namespace auburnspread::passthrough::detail
--- a/src/core/passthrough/internal/dispatching.cpp
+++ b/src/core/passthrough/internal/dispatching.cpp
@@ -17,66 +17,70 @@
 namespace
 {
 
-/// Waiting requests looked at behind one that found no server: each session has engines of its own.
-constexpr int MostPassedOver = 32;
-
-/// Part of a route's target within which the first event has to be expected: reports of others are a tenth of a second old.
-constexpr double OnTimePart = 0.85;
-/// Part of the target that a prompt's own reading takes off what may lie before it, at most.
-constexpr double MostOwnPart = 0.3;
-/// Part of the target that may lie before a late request: so little that it takes no place of one that can be on time.
-constexpr double LatePart = 0.2;
-
-/// Answers of a plain service that take longer than this many targets come from a server that is stuck.
-constexpr double StartTargets = 2.5;
-
-/// What may lie before a request of the least urgent tier of a service: enough to keep an engine busy until the entries know better,
-/// reports being a tenth of a second old and more. Failure: prompts with a long target fill the engines up to that target. Symptom:
-/// more urgent ones with a short target find no engine, and running answers stall because engines read all the time.
-constexpr Duration LongestAhead = std::chrono::milliseconds(300);
-/// What more may lie before it for each less urgent tier: these get nothing while a more urgent request just finds room.
-constexpr Duration MoreAheadForTier = std::chrono::milliseconds(100);
-
-auto placeOf(const Request &request) -> Pool::Place
+/// Number of requests that may fail to find a server before a dispatch round stops. Requests behind one that found no server are
+/// tried too, because each session has its own preferred engines.
+constexpr int MaxSkippedRequests = 32;
+
+/// Fraction of a route's target within which the first event must be expected. The margin is needed because the load reports of other
+/// entries are about 100 ms old.
+constexpr double OnTimeFraction = 0.85;
+/// Upper limit, as a fraction of the target, for the time that a prompt's own processing takes off the work allowed ahead of it.
+constexpr double MaxOwnReadingFraction = 0.3;
+/// Fraction of the target that the work ahead of a late request may take. It is small, so that a late request does not take the place
+/// of one that can be on time.
+constexpr double LateFraction = 0.2;
+
+/// A plain service that has not started its response after this multiple of the route's target is considered stuck.
+constexpr double StartTimeoutTargets = 2.5;
+
+/// Longest work that may be ahead of a request of the least urgent tier of a service. It keeps an engine busy until newer load reports
+/// arrive, which are 100 ms old or more. If prompts with a long target could fill the engines up to that target, more urgent prompts
+/// with a short target would find no engine, and running responses would stall because the engines process prompts all the time.
+constexpr Duration MaxWorkAhead = std::chrono::milliseconds(300);
+/// Additional work that may be ahead of a request for each less urgent tier of the service. Requests of those tiers are not sent while
+/// the engines are so full that only a more urgent request finds room.
+constexpr Duration ExtraWorkAheadPerTier = std::chrono::milliseconds(100);
+
+auto queuePositionOf(const Request &request) -> Pool::QueuePosition
 {
-    return { request.rank, request.late, request.order, request.call.request };
+    return { request.rank, request.isLate, request.order, request.call.request };
 }
 
-auto mayRepeat(const Route &route) -> bool
+auto isRetryable(const Route &route) -> bool
 {
     return route.repeatability == Repeatability::Idempotent || route.isResumable;
 }
 
-/// Only a request that may run again gains by an early end of its attempt.
+/// \return zero, which means no timeout, if the request can't be retried, since ending its attempt early would not help it
 auto startTimeoutOf(const Request &request, Duration estimated) -> Duration
 {
     const auto &route = *request.route;
-    if (!mayRepeat(route) || request.sends >= route.attempts) {
+    if (!isRetryable(route) || request.sends >= route.attempts) {
         return Duration::zero();
     }
     if (route.repeatability == Repeatability::Stream) {
-        constexpr Duration StreamStart = std::chrono::seconds(1); // half of a caller's least patience with a silent stream
+        constexpr Duration StreamStart = std::chrono::seconds(1); // half of the shortest time after which a caller gives up on a silent stream
         return std::max(StreamStart, 2 * estimated);
     }
-    return scaled(route.target, StartTargets);
+    return scaled(route.target, StartTimeoutTargets);
 }
 
 auto silenceTimeoutOf(const Request &request) -> Duration
 {
-    constexpr Duration StreamSilence = std::chrono::seconds(1); // as above
+    constexpr Duration StreamSilence = std::chrono::seconds(1); // see StreamStart
     return request.route->isResumable && request.sends < request.route->attempts ? StreamSilence : Duration::zero();
 }
 
-/// The estimate, as far off as it has been lately.
-auto expectedStart(RouterState &state, const Request &request, const Placement &placement) -> Duration
+/// The estimated time to the first byte, corrected by the recent ratio of observed to estimated times.
+auto correctedStartEstimate(RouterState &state, const Request &request, const Placement &placement) -> Duration
 {
-    return scaled(placement.estimatedStart, state.pools[request.service].bias[placement.load.isShort ? 1 : 0]);
+    return scaled(placement.estimatedStart, state.pools[request.service].startTimeBias[placement.load.isShort ? 1 : 0]);
 }
 
-auto noteUnread(Pool &pool, std::uint32_t tokens) -> void
+auto updateAverageUnreadTokens(Pool &pool, std::uint32_t tokens) -> void
 {
-    constexpr double Weight = 0.05; // the last twenty
-    pool.unreadEach += Weight * (tokens - pool.unreadEach);
+    constexpr double Weight = 0.05; // averages over about 20 requests
+    pool.averageUnreadTokens += Weight * (tokens - pool.averageUnreadTokens);
 }
 
 auto send(RouterState &state, Request &request, const Placement &placement, Actions &actions) -> void
@@ -87,7 +91,7 @@
     auto &budget = state.pools[request.service].budget;
     const auto isRepeat = request.sends > 0;
     if (!isRepeat && request.failedConnections == 0) {
-        noteFirstSend(budget, state.options.retries, state.now);
+        recordFirstSend(budget, state.options.retries, state.now);
     }
     request.sends += 1;
     request.stage = Stage::Running;
@@ -99,11 +103,11 @@
         .load = placement.load,
         .sentAt = state.now,
         .estimatedStart = placement.estimatedStart,
-        .readTokens = static_cast<double>(placement.workAhead.unreadTokens) + placement.load.unreadTokens,
+        .tokensUntilStart = static_cast<double>(placement.workAhead.unreadTokens) + placement.load.unreadTokens,
     };
-    recordSend(state.servers, server, placement.load, expectedStart(state, request, placement), state.now);
+    recordSend(state.servers, server, placement.load, correctedStartEstimate(state, request, placement), state.now);
     if (isEngine) {
-        noteUnread(state.pools[request.service], placement.load.unreadTokens);
+        updateAverageUnreadTokens(state.pools[request.service], placement.load.unreadTokens);
         recordPromptSent(state.servers, server, request.call.prompt, state.now);
     }
     actions.emplace_back(Send{
@@ -118,7 +122,7 @@
         .isStream = request.route->repeatability == Repeatability::Stream,
         .isRepeat = isRepeat,
         .repeatedAfter = request.repeatedAfter,
-        .startTimeout = startTimeoutOf(request, expectedStart(state, request, placement)),
+        .startTimeout = startTimeoutOf(request, correctedStartEstimate(state, request, placement)),
         .silenceTimeout = silenceTimeoutOf(request),
         .fetchFrom = placement.fetchFrom ? placement.fetchFrom->record.address : "",
         .estimatedStart = placement.estimatedStart,
@@ -133,24 +137,24 @@
     });
 }
 
-/// Why the request may not be sent now, whatever the servers say.
+/// Reason why the request must not be sent now, independent of the servers' state.
 ///
-/// Failure: a key is withdrawn while a request waits here, or while this VM is suspended between the request's arrival
-/// and its dispatch. Symptom: work runs for a workspace that was shut out. The check stands right before each send, and a
-/// configuration that was confirmed too long ago counts as one in which every key may be gone.
-auto whyNotNow(const RouterState &state, const Request &request) -> std::optional<Reason>
+/// A key may be withdrawn while the request is queued, or while this VM is suspended between the request's arrival and its dispatch. The
+/// key is therefore checked right before each send, so that nothing runs for a workspace without access. If the configuration was last
+/// confirmed too long ago, every key counts as possibly withdrawn.
+auto reasonNotToSend(const RouterState &state, const Request &request) -> std::optional<Reason>
 {
     if (request.workspace.empty()) {
         return std::nullopt;
     }
-    if (!isFresh(state, state.now)) {
+    if (!isConfigurationFresh(state, state.now)) {
         return Reason::StaleConfiguration;
     }
     return isKeyValid(state, request) ? std::nullopt : std::optional(Reason::UnknownKey);
 }
 
-/// Whether most other entries told what they have in flight.
-auto knowsPeers(const RouterState &state) -> bool
+/// Whether at least half of the entries, this one included, are covered by load reports.
+auto hasReportsOfMostPeers(const RouterState &state) -> bool
 {
     return state.servers.usesFleetReport || 2 * reportingEntries(state.servers) + 1 >= state.entries;
 }
@@ -160,26 +164,27 @@
     return pool.strain[isShort(request.call.prompt) ? 1 : 0];
 }
 
-/// Longest work that may lie before the request on an engine.
+/// Longest work that may be ahead of the request on an engine.
 ///
-/// Failure: a burst fills every engine with prompts to be read. Symptom: all answers are late, also of requests that come
-/// last, although the engines could serve most on time. An engine gets no more than what can still begin on time, so the
-/// rest waits here, where the newest, which can still be on time, goes first; a late one is sent when an engine has little
-/// to do. A prompt that takes long by itself is not held back for that.
-auto mostAheadOf(const RouterState &state, const Request &request) -> Duration
+/// If a burst filled every engine with prompts, all responses would be late, including those to the last requests, although the engines
+/// could serve most of them on time. An engine therefore gets no more than what can still start on time. The other requests stay in the
+/// queue of the entry, where those that can still be on time are sent before late ones, and a late one is sent when an engine has
+/// little work. A prompt that takes long to process by itself is not held back for that reason.
+auto maxWorkAheadOf(const RouterState &state, const Request &request) -> Duration
 {
     const auto target = request.route->target;
     const auto ownReading = prefillTime(request.call.prompt.tokens, state.pools.at(request.service).speed);
-    const auto own = std::min(ownReading, scaled(target, MostOwnPart));
-    const auto left = scaled(target, OnTimePart) - (state.now - request.arrived) - own;
-    const auto least = std::min(scaled(target, LatePart), scaled(LongestAhead, MinQueuedWorkFactor));
-    const auto most = scaled(LongestAhead, queuedWorkFactor(strainOf(state.pools.at(request.service), request))) + MoreAheadForTier * request.lessUrgentTiers;
-    return request.late ? least : std::clamp(left, least, most);
+    const auto own = std::min(ownReading, scaled(target, MaxOwnReadingFraction));
+    const auto left = scaled(target, OnTimeFraction) - (state.now - request.arrived) - own;
+    const auto minAhead = std::min(scaled(target, LateFraction), scaled(MaxWorkAhead, MinQueuedWorkFactor));
+    const auto maxAhead
+        = scaled(MaxWorkAhead, queuedWorkFactor(strainOf(state.pools.at(request.service), request))) + ExtraWorkAheadPerTier * request.lessUrgentTiers;
+    return request.isLate ? minAhead : std::clamp(left, minAhead, maxAhead);
 }
 
-auto isLate(const RouterState &state, const Request &request) -> bool
+auto cannotStartOnTime(const RouterState &state, const Request &request) -> bool
 {
-    return state.now - request.arrived >= scaled(request.route->target, OnTimePart - MostOwnPart - LatePart);
+    return state.now - request.arrived >= scaled(request.route->target, OnTimeFraction - MaxOwnReadingFraction - LateFraction);
 }
 
 auto rateAt(const ArrivalRate &rate, TimePoint now) -> double
@@ -187,61 +192,63 @@
     return rate.perSecond * std::exp(-std::chrono::duration<double>(now - rate.updatedAt).count());
 }
 
-/// Age of what is known of the others' requests, on average: told by each, or by way of a sum.
+/// Average age of the information about other entries' requests, from their own reports or from aggregated reports.
 auto reportAgeOf(const RouterState &state) -> Duration
 {
-    constexpr Duration OfReports = std::chrono::milliseconds(40);
-    constexpr Duration OfSums = std::chrono::milliseconds(120);
-    return state.servers.usesFleetReport ? OfSums : OfReports;
+    constexpr Duration EntryReportAge = std::chrono::milliseconds(40);
+    constexpr Duration AggregateReportAge = std::chrono::milliseconds(120);
+    return state.servers.usesFleetReport ? AggregateReportAge : EntryReportAge;
 }
 
-/// Requests that all other entries together send until this one hears of them: as they tell, or as many each as come here.
-auto unseenRequests(const RouterState &state, const std::string &service) -> double
+/// Expected number of requests that the other entries have sent but not yet reported to this one. It is based on the arrival rates that
+/// they report, or on this entry's own rate for each of them if most have not reported.
+auto unreportedRequests(const RouterState &state, const std::string &service) -> double
 {
     const auto perSecond
-        = knowsPeers(state) ? peerArrivalRate(state.servers, service) : rateAt(state.pools.at(service).arrivals, state.now) * (state.entries - 1);
+        = hasReportsOfMostPeers(state) ? peerArrivalRate(state.servers, service) : rateAt(state.pools.at(service).arrivals, state.now) * (state.entries - 1);
     return perSecond * std::chrono::duration<double>(reportAgeOf(state)).count();
 }
 
-/// Engines that one request looks at: where all entries together send many requests between two reports, each chooses
-/// among few engines; where they send less than one, among all.
-auto lookedAtOf(double unseen, std::size_t engines) -> double
+/// Number of engines that are compared for one request. If all entries together send many requests between two reports, each chooses
+/// among few engines, so that they do not all choose the same one. If they send less than one, it chooses among all engines.
+auto candidateCount(double unseen, std::size_t engines) -> double
 {
-    constexpr double Least = 3; // engines; with two, a choice between two bad ones is common
-    return std::max(Least, static_cast<double>(engines) / std::max(unseen, 0.1));
+    constexpr double MinCandidates = 3; // with two, both are often bad choices
+    return std::max(MinCandidates, static_cast<double>(engines) / std::max(unseen, 0.1));
 }
 
-/// \p servers: all of the service or a part of them, which gets \p share of what the service gets
+/// \param servers all servers of the service or one shard of them
+/// \param share fraction of the service's requests that \p servers get
 auto placeAmong(const RouterState &state, const Request &request, const std::vector<ServerPointer> &servers, double share) -> Placement
 {
     const auto *service = request.table->findService(request.service);
     const auto &pool = state.pools.at(request.service);
-    const auto unseen = share * unseenRequests(state, request.service);
+    const auto unseen = share * unreportedRequests(state, request.service);
     const PlacementQuery query{
         .prompt = request.route->hasPrompt ? &request.call.prompt : nullptr,
         .failureDomain = state.options.failureDomain,
-        .avoid = request.avoid,
+        .avoid = request.serversToAvoid,
         .entries = state.entries,
         .entryNamesKnown = !state.servers.entryNameHashes.empty(),
-        .peersKnown = knowsPeers(state),
+        .peersKnown = hasReportsOfMostPeers(state),
         .cacheTokens = service == nullptr ? 0 : service->cacheTokens,
         .fetchTokensPerMs = service == nullptr ? 0 : service->fetchTokensPerMs,
         .shortPromptEngines = static_cast<std::size_t>(std::ceil(share * static_cast<double>(pool.split.shortPromptEngines))),
-        .sampledEngines = request.route->hasPrompt ? std::optional(lookedAtOf(unseen, servers.size())) : std::nullopt,
+        .sampledEngines = request.route->hasPrompt ? std::optional(candidateCount(unseen, servers.size())) : std::nullopt,
         .isUrgent = request.lessUrgentTiers > 0,
         .leavesReserve = request.hasMoreUrgentTiers,
-        // short prompts that pile up make answers pause, so for them all counts that was told
+        // accumulating short prompts make responses pause, so for them the reported load counts in full
         .reportAge = isShort(request.call.prompt) ? Duration::zero() : reportAgeOf(state),
         .admissionFactor = releaseFactor(strainOf(pool, request)),
-        .unreportedTokens = unseen * pool.unreadEach,
-        .maxQueueTime = request.route->hasPrompt ? std::optional(mostAheadOf(state, request)) : std::nullopt,
+        .unreportedTokens = unseen * pool.averageUnreadTokens,
+        .maxQueueTime = request.route->hasPrompt ? std::optional(maxWorkAheadOf(state, request)) : std::nullopt,
         .tieBreak = request.tieBreak,
         .reportRevision = state.servers.reportCount,
     };
     return choosePlacement(servers, query, pool.speed, state.now);
 }
 
-auto isFound(const Placement &placement) -> bool
+auto canSendNow(const Placement &placement) -> bool
 {
     return placement.server && !placement.mustWait;
 }
@@ -260,32 +267,33 @@
     const auto key = mixHash(session == 0 ? request.tieBreak : session, 0);
     const auto share = 1 / static_cast<double>(group.shards.size());
     auto placement = placeAmong(state, request, group.shards[shardForKey(group, key)], share);
-    if (isFound(placement)) {
+    if (canSendNow(placement)) {
         return placement;
     }
     auto second = placeAmong(state, request, group.shards[fallbackShardForKey(group, key)], share);
-    return isFound(second) || !placement.server ? second : placement;
+    return canSendNow(second) || !placement.server ? second : placement;
 }
 
-/// \return false if no server has room for it
+/// Sends the request, or ends it if it must not be sent.
+/// \return false if the request stays in the queue
 auto trySend(RouterState &state, Request &request, Actions &actions) -> bool
 {
-    if (const auto reason = whyNotNow(state, request)) {
+    if (const auto reason = reasonNotToSend(state, request)) {
         endWithoutAnswer(state, request, *reason, actions);
         return true;
     }
-    if (isWithheld(state, request.call.fingerprint)) {
+    if (isQuarantined(state, request.call.fingerprint)) {
         endWithoutAnswer(state, request, Reason::Quarantined, actions);
         return true;
     }
-    if (!request.late && request.route->hasPrompt && isLate(state, request)) {
+    if (!request.isLate && request.route->hasPrompt && cannotStartOnTime(state, request)) {
         leaveQueue(state, request);
-        request.late = true;
+        request.isLate = true;
         enqueue(state, request);
         return false;
     }
     const auto placement = place(state, request);
-    request.waitsFor = placement.mustWait ? placement.server : nullptr;
+    request.awaitedServer = placement.mustWait ? placement.server : nullptr;
     request.waitingTokens = placement.load.unreadTokens;
     if (!placement.server || placement.mustWait) {
         return false;
@@ -300,62 +308,62 @@
 auto enqueue(RouterState &state, Request &request) -> void
 {
     request.stage = Stage::Waiting;
-    state.pools[request.service].waiting.insert(placeOf(request));
+    state.pools[request.service].waiting.insert(queuePositionOf(request));
 }
 
 auto leaveQueue(RouterState &state, Request &request) -> void
 {
-    state.pools[request.service].waiting.erase(placeOf(request));
+    state.pools[request.service].waiting.erase(queuePositionOf(request));
 }
 
 auto dispatchService(RouterState &state, const std::string &service, Actions &actions) -> void
 {
     auto &waiting = state.pools[service].waiting;
-    auto passed = 0;
-    for (auto next = waiting.begin(); next != waiting.end() && passed < MostPassedOver;) {
+    auto skipped = 0;
+    for (auto next = waiting.begin(); next != waiting.end() && skipped < MaxSkippedRequests;) {
         const auto id = std::get<RequestId>(*next);
-        ++next; // sending takes the request out of the queue
+        ++next; // sending the request removes it from the queue
         if (!trySend(state, state.requests.at(id), actions)) {
-            passed += 1;
+            skipped += 1;
         }
     }
 }
 
-auto noteArrival(ArrivalRate &rate, TimePoint now) -> void
+auto recordArrival(ArrivalRate &rate, TimePoint now) -> void
 {
     rate.perSecond = rateAt(rate, now) + 1;
     rate.updatedAt = now;
 }
 
-auto updateSplits(RouterState &state) -> void
+auto updateEngineSplits(RouterState &state) -> void
 {
-    constexpr Duration IntervalOfMany = std::chrono::milliseconds(100); // of thousands of servers, all of which are looked at
+    constexpr Duration ManyServersInterval = std::chrono::milliseconds(100); // an update scans all servers, which may be thousands
     for (auto &[service, pool] : state.pools) {
         const auto found = state.servers.byService.find(service);
         if (found == state.servers.byService.end()) {
             continue;
         }
-        const auto interval = found->second.shards.size() == 1 ? Duration::zero() : IntervalOfMany;
+        const auto interval = found->second.shards.size() == 1 ? Duration::zero() : ManyServersInterval;
         if (state.now - pool.split.updatedAt >= interval) {
             updateSplit(pool.split, found->second.all, state.now);
         }
     }
 }
 
-auto countWaiting(RouterState &state) -> void
+auto updateWaitingTokens(RouterState &state) -> void
 {
     for (auto &[id, server] : state.servers.reportableServers) {
         server->ownLoad.waitingTokens = 0;
     }
     for (const auto &[id, request] : state.requests) {
-        if (request.stage == Stage::Waiting && request.waitsFor) {
-            markReportable(state.servers, *request.waitsFor);
-            request.waitsFor->ownLoad.waitingTokens += request.waitingTokens;
+        if (request.stage == Stage::Waiting && request.awaitedServer) {
+            markReportable(state.servers, *request.awaitedServer);
+            request.awaitedServer->ownLoad.waitingTokens += request.waitingTokens;
         }
     }
 }
 
-auto countArrivals(RouterState &state) -> void
+auto updateOwnArrivalRates(RouterState &state) -> void
 {
     for (const auto &[service, pool] : state.pools) {
         state.servers.ownArrivalRates[service] = rateAt(pool.arrivals, state.now);
--- a/src/core/passthrough/internal/dispatching.h
+++ b/src/core/passthrough/internal/dispatching.h
@@ -1,5 +1,5 @@
 /// \file
-/// From the queue to a backend server.
+/// Dispatch of queued requests to backend servers.
 
 #pragma once
 
@@ -13,15 +13,15 @@
 auto enqueue(RouterState &state, Request &request) -> void;
 auto leaveQueue(RouterState &state, Request &request) -> void;
 
-/// Sends what waits for the service while servers have room.
+/// Sends the queued requests of the service while its servers have room.
 auto dispatchService(RouterState &state, const std::string &service, Actions &actions) -> void;
-/// Sums up, by server, what waits here.
-auto countWaiting(RouterState &state) -> void;
-/// Notes what arrives a second for each service, to be told to the other entries.
-auto countArrivals(RouterState &state) -> void;
+/// Recomputes the prompt tokens that are queued at this entry for each server.
+auto updateWaitingTokens(RouterState &state) -> void;
+/// Updates the arrival rates of this entry by service, for its load reports.
+auto updateOwnArrivalRates(RouterState &state) -> void;
 auto dispatchAll(RouterState &state, Actions &actions) -> void;
-/// Deals the engines anew between long prompts and long answers, as their demand has changed.
-auto noteArrival(ArrivalRate &rate, TimePoint now) -> void;
-auto updateSplits(RouterState &state) -> void;
+auto recordArrival(ArrivalRate &rate, TimePoint now) -> void;
+/// Redistributes the engines of each service between long and short prompts as their demand changes.
+auto updateEngineSplits(RouterState &state) -> void;
 
 } // namespace auburnspread::passthrough::detail
--- a/src/core/passthrough/internal/ending.cpp
+++ b/src/core/passthrough/internal/ending.cpp
@@ -20,10 +20,10 @@
 constexpr int GatewayTimeoutStatus = 504;
 constexpr int FirstErrorStatus = 500;
 
-/// Connections that may fail for one request; each proves that nothing ran, but each takes time.
-constexpr std::uint32_t MostFailedConnections = 3;
-/// A repeat that has less time than this can't be answered.
-constexpr Duration LeastRemaining = std::chrono::milliseconds(30);
+/// Failed connections after which a request is not retried any more. Nothing ran on a failed connection, but each one takes time.
+constexpr std::uint32_t MaxFailedConnections = 3;
+/// A request with less time than this until its deadline is not retried, because no response can arrive in time.
+constexpr Duration MinRemainingForRetry = std::chrono::milliseconds(30);
 
 auto findAttempt(RouterState &state, AttemptId id) -> Attempt *
 {
@@ -31,7 +31,7 @@
     return found == state.attempts.end() ? nullptr : &found->second;
 }
 
-/// Takes the attempt out of all accounts.
+/// Removes the attempt and its load on the server.
 auto closeAttempt(RouterState &state, AttemptId id) -> ServerPointer
 {
     const auto node = state.attempts.extract(id);
@@ -43,41 +43,44 @@
     return attempt.server;
 }
 
-/// Failure: engines read slower than assumed, beside many running answers or on other hardware. Symptom: prompts are believed read
-/// that still wait, and engines get far more than they can begin on time. The time to a first event behind much reading tells.
-auto learnReadingSpeed(EngineSpeed &speed, const Attempt &attempt, Duration observed) -> void
+/// Corrects the estimate of the engines' prompt processing speed by the observed time to a first event with many prompt tokens ahead.
+/// Engines may be slower than configured, because of many running responses or other hardware. Without the correction, prompts that
+/// still wait would be counted as processed, and engines would get far more than they can start on time.
+auto updateReadingSpeed(EngineSpeed &speed, const Attempt &attempt, Duration observed) -> void
 {
-    constexpr double LeastTokens = 4000; // fewer say more about the first token than about reading
-    constexpr double Weight = 0.05;      // the last twenty
-    constexpr double MostChange = 2;
-    if (attempt.readTokens < LeastTokens) {
+    constexpr double MinTokens = 4000; // with fewer, the time depends more on the first token than on the prompt
+    constexpr double Weight = 0.05;    // averages over about 20 attempts
+    constexpr double MaxChange = 2;
+    if (attempt.tokensUntilStart < MinTokens) {
         return;
     }
     const auto reading = std::max(observed - speed.firstTokenOverhead, observed / 4);
-    const auto shown = attempt.readTokens / toMilliseconds(reading);
-    speed.tokensPerMs *= std::pow(std::clamp(shown / speed.tokensPerMs, 1 / MostChange, MostChange), Weight);
+    const auto shown = attempt.tokensUntilStart / toMilliseconds(reading);
+    speed.tokensPerMs *= std::pow(std::clamp(shown / speed.tokensPerMs, 1 / MaxChange, MaxChange), Weight);
 }
 
-/// What the time to the first byte says about a server: only what sets it apart from the others. Failure: a burst makes all
-/// engines slower than estimated. Symptom: those that an entry has just used look slow, and sessions leave their engines.
-auto learnStartTime(RouterState &state, const Request &request, const Attempt &attempt) -> void
+/// Rates a server by its time to the first byte in comparison with the other servers of its service. A burst makes all engines slower
+/// than estimated; without the comparison, the engines that this entry has just used would look slow and sessions would move away from
+/// their engines.
+auto recordStartTime(RouterState &state, const Request &request, const Attempt &attempt) -> void
 {
-    constexpr double Weight = 0.05; // the last twenty
-    constexpr double Most = 10;
-    auto &bias = state.pools[request.service].bias[attempt.load.isShort ? 1 : 0];
+    constexpr double Weight = 0.05; // averages over about 20 attempts
+    constexpr double MaxBias = 10;
+    auto &bias = state.pools[request.service].startTimeBias[attempt.load.isShort ? 1 : 0];
     const auto expected = scaled(attempt.estimatedStart, bias);
     const auto ratio = recordFirstByteTime(*attempt.server, state.now - attempt.sentAt, expected);
-    bias = std::clamp(bias * (1 + Weight * (std::min(ratio, 2.0) - 1)), 1 / Most, Most);
-    learnReadingSpeed(state.pools[request.service].speed, attempt, state.now - attempt.sentAt);
+    bias = std::clamp(bias * (1 + Weight * (std::min(ratio, 2.0) - 1)), 1 / MaxBias, MaxBias);
+    updateReadingSpeed(state.pools[request.service].speed, attempt, state.now - attempt.sentAt);
 }
 
-/// Whether the server, or the way to it, failed the request while it may have run. Timeouts are judged by the silence of a server.
-auto isServersFault(Failure failure) -> bool
+/// Whether the failure was caused by the server, or the connection to it, when the request may already have run. Timeouts are not
+/// included; they are evaluated by how long the server has been silent.
+auto isServerFault(Failure failure) -> bool
 {
     return !provesNotStarted(failure) && failure != Failure::FirstTokenTimeout && failure != Failure::ProgressTimeout;
 }
 
-auto judgeAnswer(RouterState &state, const Request &request, ServerState &server, std::optional<Failure> failure) -> void
+auto recordOutcome(RouterState &state, const Request &request, ServerState &server, std::optional<Failure> failure) -> void
 {
     recordAnswer(server.errorEvidence, state.usualErrors[request.route->name], failure.has_value());
     if (failure && isConclusive(server.errorEvidence)) {
@@ -91,68 +94,68 @@
     const auto each = service == nullptr ? 1 : service->tokensPerEvent;
     return {
         .startedAt = now,
-        .expectedEvents = request.call.prompt.likelyTokens / each,
+        .expectedEvents = request.call.prompt.expectedAnswerTokens / each,
         .deadline = request.deadline,
-        .longestPause = request.route->longestPause,
+        .longestPause = request.route->maxEventGap,
     };
 }
 
-auto forget(RouterState &state, Request &request) -> void
+auto removeRequest(RouterState &state, Request &request) -> void
 {
     const auto id = request.call.request;
     leaveQueue(state, request);
-    state.due.erase({ request.latestWait, id });
-    state.due.erase({ request.deadline, id });
+    state.dueChecks.erase({ request.queueDeadline, id });
+    state.dueChecks.erase({ request.deadline, id });
     state.requests.erase(id);
 }
 
-auto isSafeToRepeat(const Request &request, Failure failure) -> bool
+auto isSafeToRetry(const Request &request, Failure failure) -> bool
 {
     const auto &route = *request.route;
     return provesNotStarted(failure) || route.repeatability == Repeatability::Idempotent || route.isResumable;
 }
 
-/// Whether the failed attempt counts among those that the route allows. A connection that was not made, or that led to
-/// another server, sent the request to none of the service's servers.
-auto countsAsSend(Failure failure) -> bool
+/// Whether the failed attempt counts towards the attempts that the route allows. If the connection was not established, or led to a
+/// different server, the request reached no server of the service.
+auto countsAsAttempt(Failure failure) -> bool
 {
     return failure != Failure::ConnectFailed && failure != Failure::WrongServer;
 }
 
-auto whyNoRepeat(RouterState &state, const Request &request, Failure failure) -> std::optional<Reason>
+auto reasonNotToRetry(RouterState &state, const Request &request, Failure failure) -> std::optional<Reason>
 {
     if (request.callerGone) {
         return Reason::CallerGone;
     }
-    if (!isSafeToRepeat(request, failure) || request.sends >= request.route->attempts || request.failedConnections > MostFailedConnections) {
+    if (!isSafeToRetry(request, failure) || request.sends >= request.route->attempts || request.failedConnections > MaxFailedConnections) {
         return request.answerBegun ? Reason::StreamBroken : Reason::BackendFailed;
     }
-    if (request.deadline - state.now < LeastRemaining) {
+    if (request.deadline - state.now < MinRemainingForRetry) {
         return Reason::DeadlinePassed;
     }
-    const auto arrives = request.sends > 0;
-    if (arrives && !takeRepeat(state.pools[request.service].budget, state.options.retries, state.repeatShares, state.now)) {
+    const auto reachedServer = request.sends > 0;
+    if (reachedServer && !tryConsumeRetry(state.pools[request.service].budget, state.options.retries, state.retryBudgetShares, state.now)) {
         return Reason::RetryBudget;
     }
     return std::nullopt;
 }
 
-/// Back to the queue; the caller dispatches.
-auto repeat(RouterState &state, Request &request, Failure failure) -> void
+/// Puts the request back into the queue. The calling function must dispatch the service afterwards.
+auto requeueForRetry(RouterState &state, Request &request, Failure failure) -> void
 {
     request.repeatedAfter = failure;
     enqueue(state, request);
 }
 
-/// The request is over without a further action; what waits for the same service may take its place.
-auto release(RouterState &state, Request &request, Actions &actions) -> void
+/// Removes the request without a further action, and dispatches requests that are queued for the same service.
+auto removeAndDispatch(RouterState &state, Request &request, Actions &actions) -> void
 {
     const auto service = request.service;
-    forget(state, request);
+    removeRequest(state, request);
     dispatchService(state, service, actions);
 }
 
-/// 502 and 504 promise nothing; 503 promises that the request did not run.
+/// Status 503 states that the request did not run; 502 and 504 leave that open.
 auto statusOfEnd(const Request &request, Reason reason) -> int
 {
     if (!request.mayHaveRun) {
@@ -161,9 +164,9 @@
     return reason == Reason::DeadlinePassed ? GatewayTimeoutStatus : BadGatewayStatus;
 }
 
-auto endRunning(RouterState &state, Request &request, Actions &actions) -> void
+auto endTimedOutAttempt(RouterState &state, Request &request, Actions &actions) -> void
 {
-    // a server that said nothing for so long may be dead; less time is its caller's haste
+    // a server that sent nothing for this long may be down; a shorter silence only means that the caller's deadline was short
     constexpr Duration LongSilence = std::chrono::seconds(1);
     actions.emplace_back(Cancel{ .attempt = request.attempt });
     request.mayHaveRun = true;
@@ -176,8 +179,8 @@
     endWithoutAnswer(state, request, Reason::DeadlinePassed, actions);
 }
 
-/// Why no server was found for a request that waited.
-auto whyStillWaiting(const RouterState &state, const Request &request) -> Reason
+/// Reason why no server was found for a queued request.
+auto reasonForNoServer(const RouterState &state, const Request &request) -> Reason
 {
     const auto found = state.servers.byService.find(request.service);
     if (found == state.servers.byService.end()) {
@@ -206,18 +209,18 @@
     if (!reasonInfo(reason).retryHelps) {
         return std::nullopt;
     }
-    // callers that were refused together must not come back together; a fault of one server is over sooner than a burst
+    // callers that were refused at the same time must not retry at the same time; a burst lasts longer than the failure of one server
     constexpr Duration Step = std::chrono::milliseconds(50);
     constexpr std::uint64_t Steps = 20;
-    const auto least = std::chrono::milliseconds(reason == Reason::NoBackendServer || reason == Reason::BackendLimited ? 400 : 150);
-    return least + Step * static_cast<Duration::rep>(state.lastOrder++ % Steps);
+    const auto minDelay = std::chrono::milliseconds(reason == Reason::NoBackendServer || reason == Reason::BackendLimited ? 400 : 150);
+    return minDelay + Step * static_cast<Duration::rep>(state.lastOrder++ % Steps);
 }
 
 auto endWithoutAnswer(RouterState &state, Request &request, Reason reason, Actions &actions) -> void
 {
     const auto id = request.call.request;
     if (request.answerBegun) {
-        actions.emplace_back(Break{ .request = id, .reason = reason, .peer = request.lastPeer });
+        actions.emplace_back(AbortAnswer{ .request = id, .reason = reason, .peer = request.lastPeer });
     } else {
         const auto status = statusOfEnd(request, reason);
         actions.emplace_back(Refuse{
@@ -230,10 +233,10 @@
             .informationAge = state.now - state.confirmedAt,
         });
     }
-    forget(state, request);
+    removeRequest(state, request);
 }
 
-auto takeStarted(RouterState &state, const AttemptStarted &event) -> void
+auto handleStarted(RouterState &state, const AttemptStarted &event) -> void
 {
     auto *attempt = findAttempt(state, event.attempt);
     if (attempt == nullptr || std::exchange(attempt->started, true)) {
@@ -245,20 +248,20 @@
     if (found == state.requests.end()) {
         return;
     }
-    learnStartTime(state, found->second, *attempt);
+    recordStartTime(state, found->second, *attempt);
     attempt->pace = makePace(found->second, state.now);
-    found->second.answerBegun = found->second.answerBegun || event.goesToCaller;
-    found->second.mayHaveRun = found->second.mayHaveRun || event.goesToCaller;
+    found->second.answerBegun = found->second.answerBegun || event.isForwarded;
+    found->second.mayHaveRun = found->second.mayHaveRun || event.isForwarded;
 }
 
-auto takeLimit(RouterState &state, const LimitStated &event) -> void
+auto handleRateLimit(RouterState &state, const RateLimitReported &event) -> void
 {
     if (auto *attempt = findAttempt(state, event.attempt)) {
         recordLimitStatement(state.servers, *attempt->server, event.perSecond, attempt->sentAt, state.now);
     }
 }
 
-auto takeProgress(RouterState &state, const AttemptProgress &event) -> void
+auto handleProgress(RouterState &state, const AttemptProgress &event) -> void
 {
     auto *attempt = findAttempt(state, event.attempt);
     if (attempt == nullptr) {
@@ -272,7 +275,7 @@
     }
 }
 
-auto takeAnswered(RouterState &state, const AttemptAnswered &event, Actions &actions) -> void
+auto handleAnswered(RouterState &state, const AttemptAnswered &event, Actions &actions) -> void
 {
     auto *attempt = findAttempt(state, event.attempt);
     if (attempt == nullptr) {
@@ -280,31 +283,31 @@
     }
     auto &request = state.requests.at(attempt->request);
     if (!attempt->started && event.status < FirstErrorStatus) {
-        learnStartTime(state, request, *attempt);
+        recordStartTime(state, request, *attempt);
     }
     const auto server = closeAttempt(state, event.attempt);
     clearCrashes(state, request.call.fingerprint);
     request.mayHaveRun = true;
     if (event.status < FirstErrorStatus) {
         recordSuccess(*server, state.now);
-        judgeAnswer(state, request, *server, std::nullopt);
+        recordOutcome(state, request, *server, std::nullopt);
     } else {
         recordActivity(*server);
-        judgeAnswer(state, request, *server, Failure::ServerError);
+        recordOutcome(state, request, *server, Failure::ServerError);
         recordFailure(*server, Failure::ServerError, state.now);
-        if (!whyNoRepeat(state, request, Failure::ServerError)) {
+        if (!reasonNotToRetry(state, request, Failure::ServerError)) {
             const auto service = request.service;
-            request.avoid.push_back(server->record.id);
-            repeat(state, request, Failure::ServerError);
+            request.serversToAvoid.push_back(server->record.id);
+            requeueForRetry(state, request, Failure::ServerError);
             dispatchService(state, service, actions);
             return;
         }
     }
     actions.emplace_back(Deliver{ .request = request.call.request, .attempt = event.attempt, .status = event.status });
-    release(state, request, actions);
+    removeAndDispatch(state, request, actions);
 }
 
-auto takeFinished(RouterState &state, const AttemptFinished &event, Actions &actions) -> void
+auto handleFinished(RouterState &state, const AttemptFinished &event, Actions &actions) -> void
 {
     auto *attempt = findAttempt(state, event.attempt);
     if (attempt == nullptr) {
@@ -317,13 +320,13 @@
     }
     const auto server = closeAttempt(state, event.attempt);
     recordSuccess(*server, state.now);
-    judgeAnswer(state, request, *server, std::nullopt);
+    recordOutcome(state, request, *server, std::nullopt);
     clearCrashes(state, request.call.fingerprint);
     actions.emplace_back(Complete{ .request = request.call.request });
-    release(state, request, actions);
+    removeAndDispatch(state, request, actions);
 }
 
-auto takeFailed(RouterState &state, const AttemptFailed &event, Actions &actions) -> void
+auto handleFailed(RouterState &state, const AttemptFailed &event, Actions &actions) -> void
 {
     auto *attempt = findAttempt(state, event.attempt);
     if (attempt == nullptr) {
@@ -332,13 +335,13 @@
     auto &request = state.requests.at(attempt->request);
     const auto server = closeAttempt(state, event.attempt);
     recordFailure(*server, event.failure, state.now);
-    if (isServersFault(event.failure)) {
-        judgeAnswer(state, request, *server, event.failure);
+    if (isServerFault(event.failure)) {
+        recordOutcome(state, request, *server, event.failure);
     }
     if (event.failure == Failure::BrokenBeforeFirstByte) {
-        noteCrash(state, request.call.fingerprint, actions);
+        recordCrash(state, request.call.fingerprint, actions);
     }
-    if (!countsAsSend(event.failure)) {
+    if (!countsAsAttempt(event.failure)) {
         request.sends -= 1;
         request.failedConnections += 1;
     }
@@ -347,17 +350,17 @@
     if (!event.lastEventId.empty()) {
         request.lastEventId = event.lastEventId;
     }
-    request.avoid.push_back(server->record.id);
+    request.serversToAvoid.push_back(server->record.id);
     const auto service = request.service;
-    if (const auto reason = whyNoRepeat(state, request, event.failure)) {
+    if (const auto reason = reasonNotToRetry(state, request, event.failure)) {
         endWithoutAnswer(state, request, *reason, actions);
     } else {
-        repeat(state, request, event.failure);
+        requeueForRetry(state, request, event.failure);
     }
     dispatchService(state, service, actions);
 }
 
-auto takeCallerGone(RouterState &state, const CallerGone &event, Actions &actions) -> void
+auto handleCallerGone(RouterState &state, const CallerGone &event, Actions &actions) -> void
 {
     const auto found = state.requests.find(event.request);
     if (found == state.requests.end()) {
@@ -365,7 +368,7 @@
     }
     auto &request = found->second;
     if (request.stage == Stage::Running) {
-        // a call that may run only once is let run to its end: cut in the middle it would be neither done nor undone
+        // a request that may run only once is not cancelled: it would be left in an undefined state if it were interrupted
         if (request.route->repeatability == Repeatability::AtMostOnce) {
             request.callerGone = true;
             return;
@@ -373,14 +376,14 @@
         actions.emplace_back(Cancel{ .attempt = request.attempt });
         closeAttempt(state, request.attempt);
     }
-    release(state, request, actions);
+    removeAndDispatch(state, request, actions);
 }
 
-auto endOverdue(RouterState &state, Actions &actions) -> void
+auto endExpiredRequests(RouterState &state, Actions &actions) -> void
 {
-    while (!state.due.empty() && state.due.begin()->first <= state.now) {
-        const auto id = state.due.begin()->second;
-        state.due.erase(state.due.begin());
+    while (!state.dueChecks.empty() && state.dueChecks.begin()->first <= state.now) {
+        const auto id = state.dueChecks.begin()->second;
+        state.dueChecks.erase(state.dueChecks.begin());
         const auto found = state.requests.find(id);
         if (found == state.requests.end()) {
             continue;
@@ -389,10 +392,10 @@
         if (request.stage == Stage::Waiting) {
             const auto isOver = state.now >= request.deadline || !request.mayHaveRun;
             if (isOver) {
-                endWithoutAnswer(state, request, request.mayHaveRun ? Reason::DeadlinePassed : whyStillWaiting(state, request), actions);
+                endWithoutAnswer(state, request, request.mayHaveRun ? Reason::DeadlinePassed : reasonForNoServer(state, request), actions);
             }
         } else if (state.now >= request.deadline) {
-            endRunning(state, request, actions);
+            endTimedOutAttempt(state, request, actions);
         }
     }
 }
--- a/src/core/passthrough/internal/ending.h
+++ b/src/core/passthrough/internal/ending.h
@@ -1,5 +1,5 @@
 /// \file
-/// What becomes of a request when an attempt ends, its time is up or its caller leaves.
+/// Progress and end of attempts, and the end of requests: by a response, a failure, a timeout or the caller's disconnect.
 
 #pragma once
 
@@ -10,23 +10,23 @@
 namespace auburnspread::passthrough::detail
 {
 
-auto takeStarted(RouterState &state, const AttemptStarted &event) -> void;
-auto takeLimit(RouterState &state, const LimitStated &event) -> void;
-auto takeProgress(RouterState &state, const AttemptProgress &event) -> void;
-auto takeAnswered(RouterState &state, const AttemptAnswered &event, Actions &actions) -> void;
-auto takeFinished(RouterState &state, const AttemptFinished &event, Actions &actions) -> void;
-auto takeFailed(RouterState &state, const AttemptFailed &event, Actions &actions) -> void;
-auto takeCallerGone(RouterState &state, const CallerGone &event, Actions &actions) -> void;
-/// Ends requests whose time is up.
-auto endOverdue(RouterState &state, Actions &actions) -> void;
-
-/// The request's final action: a refusal, or a visible break of an answer that was begun. Forgets the request.
+auto handleStarted(RouterState &state, const AttemptStarted &event) -> void;
+auto handleRateLimit(RouterState &state, const RateLimitReported &event) -> void;
+auto handleProgress(RouterState &state, const AttemptProgress &event) -> void;
+auto handleAnswered(RouterState &state, const AttemptAnswered &event, Actions &actions) -> void;
+auto handleFinished(RouterState &state, const AttemptFinished &event, Actions &actions) -> void;
+auto handleFailed(RouterState &state, const AttemptFailed &event, Actions &actions) -> void;
+auto handleCallerGone(RouterState &state, const CallerGone &event, Actions &actions) -> void;
+/// Ends requests whose deadline, or time in the queue, has passed.
+auto endExpiredRequests(RouterState &state, Actions &actions) -> void;
+
+/// Ends the request with a refusal, or by aborting a response that has started, and removes the request.
 auto endWithoutAnswer(RouterState &state, Request &request, Reason reason, Actions &actions) -> void;
 
-/// Status of a refusal of a request that did not run. A withheld request is proper as far as anybody can tell, so its caller
-/// gets the status that says just that.
+/// HTTP status of a refusal for a request that did not run. A quarantined request gets 503 because nothing shows that the request
+/// itself is invalid.
 auto statusOfRefusal(Reason reason) -> int;
-/// When a caller that was refused for \p reason should come back.
+/// Delay after which a caller that was refused for \p reason should retry; not set if a retry does not help.
 auto retryAfterOf(RouterState &state, Reason reason) -> std::optional<Duration>;
 
 } // namespace auburnspread::passthrough::detail
--- a/src/core/passthrough/internal/enginechoice.cpp
+++ b/src/core/passthrough/internal/enginechoice.cpp
@@ -76,7 +76,7 @@
 {
     return {
         .unreadTokens = reuse.unreadTokens,
-        .heldTokens = prompt.tokens + prompt.answerTokens,
+        .heldTokens = prompt.tokens + prompt.maxAnswerTokens,
         .isShort = isShort(prompt),
     };
 }
--- a/src/core/passthrough/internal/milliseconds.h
+++ b/src/core/passthrough/internal/milliseconds.h
@@ -1,5 +1,5 @@
 /// \file
-/// Durations as numbers of milliseconds, for rates and estimates.
+/// Conversion between durations and milliseconds as floating-point numbers, for rates and estimates.
 
 #pragma once
 
--- a/src/core/passthrough/internal/state.h
+++ b/src/core/passthrough/internal/state.h
@@ -1,5 +1,5 @@
 /// \file
-/// Everything the pass-through router remembers between two events.
+/// State that the pass-through router keeps between events.
 
 #pragma once
 
@@ -28,8 +28,8 @@
 {
 
 enum class Stage {
-    Waiting, ///< for room on a backend server
-    Running, ///< an attempt is under way
+    Waiting, ///< queued until a backend server has room
+    Running, ///< an attempt is in progress
 };
 
 struct Request {
@@ -38,24 +38,24 @@
     const Route *route = nullptr;
     std::string workspace;
     std::string service;
-    int rank = 0;            ///< of urgency, 0 first
-    int lessUrgentTiers = 0; ///< of the routes to the same service
+    int rank = 0;            ///< priority, 0 is the most urgent
+    int lessUrgentTiers = 0; ///< number of less urgent tiers among the routes to the same service
     bool hasMoreUrgentTiers = false;
     Stage stage = Stage::Waiting;
-    std::uint64_t order = 0;    ///< of arrival
-    std::uint64_t tieBreak = 0; ///< differs between requests, also of different entries
-    ServerPointer waitsFor;     ///< the server that it waits for
+    std::uint64_t order = 0;     ///< sequence number of the arrival
+    std::uint64_t tieBreak = 0;  ///< differs between requests, also of different entries
+    ServerPointer awaitedServer; ///< while queued: the server that the request waits for
     std::uint32_t waitingTokens = 0;
     TimePoint arrived;
     TimePoint deadline;
-    TimePoint latestWait; ///< sent later, it is of no use to its caller
+    TimePoint queueDeadline; ///< latest time at which sending the request is still useful to its caller
 
     std::uint32_t sends = 0; ///< attempts whose bytes may have reached a backend server
     std::uint32_t failedConnections = 0;
-    std::vector<std::string> avoid;       ///< servers that failed this request
-    std::optional<Failure> repeatedAfter; ///< how its last attempt failed
-    AttemptId attempt{};                  ///< while running
-    bool late = false;                    ///< its first event can't be on time any more: goes behind those of its tier whose can
+    std::vector<std::string> serversToAvoid; ///< servers that failed this request
+    std::optional<Failure> repeatedAfter;    ///< failure of the previous attempt
+    AttemptId attempt{};                     ///< current attempt while the stage is Running
+    bool isLate = false;                     ///< its first event can't meet the target any more, so it is queued behind the requests of its tier that can
     bool mayHaveRun = false;
     bool answerBegun = false;
     bool callerGone = false;
@@ -71,35 +71,38 @@
     TimePoint sentAt;
     Duration estimatedStart{};
     AnswerPace pace;
-    double readTokens = 0; ///< that were to be read before its first event, its own included
+    double tokensUntilStart = 0; ///< prompt tokens that the server had to process before the first event, including its own prompt
 };
 
-/// Arrivals a second, of about the last second.
+/// Exponentially decaying estimate of the arrival rate over about the last second.
 struct ArrivalRate {
     double perSecond = 0;
     TimePoint updatedAt;
 };
 
-/// The requests that wait for one service, in the order in which they are sent.
+/// State of one service: its queue, in dispatch order, and what was learnt from its requests.
 struct Pool {
-    using Place = std::tuple<int, bool, std::uint64_t, RequestId>; ///< rank, whether late, order of arrival
-    std::set<Place> waiting;
+    using QueuePosition = std::tuple<int, bool, std::uint64_t, RequestId>; ///< rank, whether late, order of arrival, id
+    std::set<QueuePosition> waiting;
     RetryBudget budget;
     EngineSplit split;
     ArrivalRate arrivals;
-    std::array<Strain, 2> strain;       ///< of answers to long and to short prompts, which have engines of their own
-    double unreadEach = 0;              ///< moving average of the tokens that a request has to be read
-    EngineSpeed speed;                  ///< as own attempts show it
-    std::array<double, 2> bias{ 1, 1 }; ///< moving averages of observed to estimated start, of long and of short prompts
+    std::array<Strain, 2> strain;   ///< of responses to long [0] and to short [1] prompts, which run on separate engines
+    double averageUnreadTokens = 0; ///< moving average of the prompt tokens that a server has to process for a request
+    EngineSpeed speed;              ///< estimate from this entry's attempts
+    std::array<double, 2> startTimeBias{
+        1,
+        1
+    }; ///< moving averages of the ratio of observed to estimated time to the first byte, for long [0] and short [1] prompts
 };
 
-/// Broken connections while a request with some fingerprint ran.
+/// Number of connections that broke while a request with a given fingerprint ran.
 struct CrashRecord {
     std::uint32_t crashes = 0;
     TimePoint at;
 };
 
-using Due = std::pair<TimePoint, RequestId>;
+using DueCheck = std::pair<TimePoint, RequestId>;
 
 struct RouterState {
     RouterOptions options;
@@ -109,17 +112,17 @@
     std::optional<TimePoint> outdatedSince; ///< see ConfigurationOutdated
     ServerTable servers;
     std::uint32_t entries = 1;
-    std::uint32_t repeatShares = 1; ///< entries among which the repeats that are allowed are divided
+    std::uint32_t retryBudgetShares = 1; ///< number of entries that the retry allowance is divided among
     bool closing = false;
 
     std::unordered_map<RequestId, Request> requests;
     std::unordered_map<AttemptId, Attempt> attempts;
     std::map<std::string, Pool> pools; ///< by service
-    std::set<Due> due;                 ///< when a request must be looked at
+    std::set<DueCheck> dueChecks;      ///< times at which the queue deadline or the deadline of a request passes
     std::unordered_map<Fingerprint, CrashRecord> crashes;
-    std::unordered_map<std::string, Duration> longestDeadlines;     ///< that callers gave, by route
+    std::unordered_map<std::string, Duration> longestDeadlines;     ///< longest deadlines that callers set, by route
     std::unordered_map<std::string, BaselineErrorRate> usualErrors; ///< by route
-    std::uint64_t seed = 0;                                         ///< of this entry's tie-breaks
+    std::uint64_t seed = 0;                                         ///< seed of this entry's tie-breaks
     std::uint64_t lastOrder = 0;
     std::uint64_t lastAttempt = 0;
 };
--- a/src/core/passthrough/peerreports.cpp
+++ b/src/core/passthrough/peerreports.cpp
@@ -17,7 +17,7 @@
 /// Reports are sent several times a second; after this time without one, the peer has stopped or cannot reach this entry.
 constexpr Duration MaxPeerReportAge = std::chrono::milliseconds(1500);
 
-auto addLoad(ServerLoad &load, const PeerReported::Use &use) -> void
+auto addLoad(ServerLoad &load, const PeerReported::ServerUsage &use) -> void
 {
     load.inFlight += use.inFlight;
     load.unreadTokens += use.unreadTokens;
@@ -27,7 +27,7 @@
     load.sentLately += use.sentLately;
 }
 
-auto loadFrom(const PeerReported::Use &use) -> ServerLoad
+auto loadFrom(const PeerReported::ServerUsage &use) -> ServerLoad
 {
     ServerLoad load;
     addLoad(load, use);
@@ -149,7 +149,7 @@
 }
 
 /// \p load: total load of the entries that a report of this scope covers
-auto makeUse(const ServerState &server, const ServerLoad &load, ReportScope scope, TimePoint now) -> PeerReported::Use
+auto makeUse(const ServerState &server, const ServerLoad &load, ReportScope scope, TimePoint now) -> PeerReported::ServerUsage
 {
     return {
         .server = server.record.id,
@@ -165,7 +165,7 @@
     };
 }
 
-auto isReportable(const PeerReported::Use &use) -> bool
+auto isReportable(const PeerReported::ServerUsage &use) -> bool
 {
     return use.inFlight > 0 || use.waitingTokens > 0 || use.ejectedFor > Duration::zero() || use.limit || use.sentLately > 0 || !use.sent.empty();
 }
@@ -177,15 +177,17 @@
 ///
 /// Failure: an aggregate of thousands of servers exceeds the size of a datagram and is lost as a whole. Symptom: entries know only their
 /// own load.
-auto keepBusiest(std::vector<PeerReported::Use> &uses) -> void
+auto keepBusiest(std::vector<PeerReported::ServerUsage> &uses) -> void
 {
-    const auto limited = static_cast<std::size_t>(std::count_if(uses.begin(), uses.end(), [](const PeerReported::Use &use) { return use.limit.has_value(); }));
+    const auto limited
+        = static_cast<std::size_t>(std::count_if(uses.begin(), uses.end(), [](const PeerReported::ServerUsage &use) { return use.limit.has_value(); }));
     const auto kept = std::max(MaxSummedServers - std::min(limited / 2, MaxSummedServers), MaxSummedServers * 2 / 3);
     if (uses.size() <= kept) {
         return;
     }
-    const auto priorityOf = [](const PeerReported::Use &use) { return std::tuple(use.limit.has_value(), use.ejectedFor, use.heldTokens + use.unreadTokens); };
-    const auto isBusier = [priorityOf](const PeerReported::Use &a, const PeerReported::Use &b) { return priorityOf(a) > priorityOf(b); };
+    const auto priorityOf
+        = [](const PeerReported::ServerUsage &use) { return std::tuple(use.limit.has_value(), use.ejectedFor, use.heldTokens + use.unreadTokens); };
+    const auto isBusier = [priorityOf](const PeerReported::ServerUsage &a, const PeerReported::ServerUsage &b) { return priorityOf(a) > priorityOf(b); };
     std::nth_element(uses.begin(), uses.begin() + static_cast<std::ptrdiff_t>(kept), uses.end(), isBusier);
     uses.resize(kept);
 }
@@ -400,7 +402,7 @@
 auto applyPeerReport(ServerTable &table, const PeerReported &report, TimePoint now) -> void
 {
     applyServerUpdates(table, report, now);
-    if (report.isRest) {
+    if (report.isContinuation) {
         return;
     }
     table.reportCount += 1;
--- a/src/core/passthrough/retrybudget.cpp
+++ b/src/core/passthrough/retrybudget.cpp
@@ -10,9 +10,9 @@
 
 constexpr Duration SliceLength = std::chrono::milliseconds(250);
 
-/// Part of the shared bound that the entries use. An entry that restarted has forgotten its repeats of the window and one
-/// that left is still counted for some seconds, so the sum of what the entries believe may exceed the bound by a fifth or so.
-constexpr double UsedPart = 0.6;
+/// Fraction of the shared limit that the entries use. A restarted entry has lost the count of its retries in the window, and an
+/// entry that left is still counted for a few seconds, so the entries together could otherwise exceed the limit by about a fifth.
+constexpr double UsedFraction = 0.6;
 
 auto currentSlice(RetryBudget &budget, const RetryBounds &bounds, TimePoint now) -> RetryBudget::Slice &
 {
@@ -27,25 +27,25 @@
 
 } // namespace
 
-auto noteFirstSend(RetryBudget &budget, const RetryBounds &bounds, TimePoint now) -> void
+auto recordFirstSend(RetryBudget &budget, const RetryBounds &bounds, TimePoint now) -> void
 {
-    currentSlice(budget, bounds, now).firsts += 1;
+    currentSlice(budget, bounds, now).firstSends += 1;
 }
 
-auto takeRepeat(RetryBudget &budget, const RetryBounds &bounds, std::uint32_t entries, TimePoint now) -> bool
+auto tryConsumeRetry(RetryBudget &budget, const RetryBounds &bounds, std::uint32_t entries, TimePoint now) -> bool
 {
     auto &slice = currentSlice(budget, bounds, now);
-    std::uint32_t firsts = 0;
-    std::uint32_t repeats = 0;
+    std::uint32_t firstSends = 0;
+    std::uint32_t retries = 0;
     for (const auto &each : budget.slices) {
-        firsts += each.firsts;
-        repeats += each.repeats;
+        firstSends += each.firstSends;
+        retries += each.retries;
     }
     const auto allowance = bounds.allowance / std::max<std::uint32_t>(entries, 1);
-    if (repeats + 1 > UsedPart * (bounds.ratio * firsts + allowance)) {
+    if (retries + 1 > UsedFraction * (bounds.ratio * firstSends + allowance)) {
         return false;
     }
-    slice.repeats += 1;
+    slice.retries += 1;
     return true;
 }
 
--- a/src/core/passthrough/retrybudget.h
+++ b/src/core/passthrough/retrybudget.h
@@ -1,8 +1,8 @@
 /// \file
-/// Bounds how often requests are sent a second time. All entries share one bound for each service: a part of the
-/// requests of a sliding window plus a fixed allowance. Failure: backend servers fail widely and each request is sent to
-/// several of them. Symptom: twice the load just when the fleet bears least. Each entry keeps within the part that its own
-/// requests pay for and an even part of the allowance, so the sum over the entries stays within the shared bound.
+/// Retry budget of a service. All entries share one limit for each service: a fraction of the requests in a sliding window
+/// plus a fixed allowance. Without a limit, a widespread failure of backend servers would double the load exactly when the
+/// fleet has the least capacity, because each request is sent to several servers. Each entry limits its retries to the
+/// fraction of its own requests plus an equal share of the allowance, so the sum over the entries stays within the shared limit.
 
 #pragma once
 
@@ -15,23 +15,25 @@
 {
 
 struct RetryBounds {
-    double ratio = 0.2;                         ///< repeats per first send
-    double allowance = 50;                      ///< repeats in a window besides, over all entries
-    Duration window = std::chrono::seconds(10); ///< sliding
+    double ratio = 0.2;                         ///< retries per first send
+    double allowance = 50;                      ///< additional retries per window, over all entries
+    Duration window = std::chrono::seconds(10); ///< length of the sliding window
 };
 
-/// What one entry sent to one service lately.
+/// First sends and retries of one entry to one service within the window.
 struct RetryBudget {
     struct Slice {
         TimePoint from;
-        std::uint32_t firsts = 0;
-        std::uint32_t repeats = 0;
+        std::uint32_t firstSends = 0;
+        std::uint32_t retries = 0;
     };
     std::deque<Slice> slices; ///< oldest first
 };
 
-auto noteFirstSend(RetryBudget &budget, const RetryBounds &bounds, TimePoint now) -> void;
-/// Takes one repeat, if there is one. \p entries: that are alive, this one included.
-auto takeRepeat(RetryBudget &budget, const RetryBounds &bounds, std::uint32_t entries, TimePoint now) -> bool;
+auto recordFirstSend(RetryBudget &budget, const RetryBounds &bounds, TimePoint now) -> void;
+/// Consumes one retry if the budget allows it.
+/// \param entries number of entries that are alive, this one included
+/// \return false if the budget is exhausted
+auto tryConsumeRetry(RetryBudget &budget, const RetryBounds &bounds, std::uint32_t entries, TimePoint now) -> bool;
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/router.cpp
+++ b/src/core/passthrough/router.cpp
@@ -18,11 +18,11 @@
 namespace
 {
 
-/// Until the fleet is known, an entry keeps to its share of the repeats as in a fleet of hundreds: alone as it seems to be, it would take
-/// the whole of what all entries may send.
-constexpr std::uint32_t AssumedEntries = 300;
+/// Fleet size that is assumed for the retry budget until the membership is known. An entry that considered itself the only one would
+/// use the allowance of the whole fleet.
+constexpr std::uint32_t ProvisionalEntries = 300;
 
-/// An older version that arrives late, from a read that was overtaken or another entry, changes nothing.
+/// Ignores an older version that arrives late, from a superseded read or from another entry.
 auto adoptConfiguration(RouterState &state, const Configuration &configuration) -> void
 {
     const auto isOlder = state.table && configuration.version <= state.table->configuration().version;
@@ -37,18 +37,18 @@
     }
 }
 
-auto takeTick(RouterState &state, Actions &actions) -> void
+auto handleTick(RouterState &state, Actions &actions) -> void
 {
     removeLapsedServers(state.servers, state.now);
     expirePeerReports(state.servers, state.now);
     detail::expireCrashes(state);
-    detail::updateSplits(state);
-    detail::endOverdue(state, actions);
+    detail::updateEngineSplits(state);
+    detail::endExpiredRequests(state, actions);
     detail::dispatchAll(state, actions);
 }
 
-/// One overload for each event.
-struct Taker {
+/// Visitor with one overload for each event type.
+struct EventHandler {
     RouterState &state;
     Actions &actions;
 
@@ -58,31 +58,31 @@
     }
     auto operator()(const CallerGone &event) const -> void
     {
-        detail::takeCallerGone(state, event, actions);
+        detail::handleCallerGone(state, event, actions);
     }
     auto operator()(const AttemptStarted &event) const -> void
     {
-        detail::takeStarted(state, event);
+        detail::handleStarted(state, event);
     }
     auto operator()(const AttemptProgress &event) const -> void
     {
-        detail::takeProgress(state, event);
+        detail::handleProgress(state, event);
     }
-    auto operator()(const LimitStated &event) const -> void
+    auto operator()(const RateLimitReported &event) const -> void
     {
-        detail::takeLimit(state, event);
+        detail::handleRateLimit(state, event);
     }
     auto operator()(const AttemptAnswered &event) const -> void
     {
-        detail::takeAnswered(state, event, actions);
+        detail::handleAnswered(state, event, actions);
     }
     auto operator()(const AttemptFinished &event) const -> void
     {
-        detail::takeFinished(state, event, actions);
+        detail::handleFinished(state, event, actions);
     }
     auto operator()(const AttemptFailed &event) const -> void
     {
-        detail::takeFailed(state, event, actions);
+        detail::handleFailed(state, event, actions);
     }
     auto operator()(const ConfigurationAdopted &event) const -> void
     {
@@ -111,7 +111,7 @@
     auto operator()(const EntriesCounted &event) const -> void
     {
         state.entries = std::max<std::uint32_t>(event.entries, 1);
-        state.repeatShares = event.isGuess ? AssumedEntries : state.entries;
+        state.retryBudgetShares = event.isProvisional ? ProvisionalEntries : state.entries;
         setEntryNames(state.servers, event.names);
     }
     auto operator()(const PeerReported &event) const -> void
@@ -122,9 +122,9 @@
     {
         applyCacheListing(state.servers, event, state.now);
     }
-    auto operator()(const CrashesHeard &event) const -> void
+    auto operator()(const CrashesReported &event) const -> void
     {
-        detail::hearCrashes(state, event);
+        detail::mergeReportedCrashes(state, event);
     }
     auto operator()(const ClosingStarted & /*event*/) const -> void
     {
@@ -132,16 +132,16 @@
     }
     auto operator()(const Tick & /*event*/) const -> void
     {
-        takeTick(state, actions);
+        handleTick(state, actions);
     }
 };
 
-auto tellChangedLimits(RouterState &state, Actions &actions) -> void
+auto reportChangedLimits(RouterState &state, Actions &actions) -> void
 {
     for (const auto &server : std::exchange(state.servers.changedLimits, {})) {
         const auto &statement = newestStatement(server->limit);
         const auto sharers = allowedSenders(statement.perSecond.value_or(0), state.entries);
-        actions.emplace_back(LimitChanged{
+        actions.emplace_back(RateLimitChanged{
             .server = server->record.id,
             .perSecond = statement.perSecond,
             .age = state.now - statement.at,
@@ -173,26 +173,26 @@
 {
     Actions actions;
     state.now = std::max(state.now, now);
-    std::visit(Taker{ state, actions }, event);
-    tellChangedLimits(state, actions);
+    std::visit(EventHandler{ state, actions }, event);
+    reportChangedLimits(state, actions);
     return actions;
 }
 
-auto changeBounds(RouterState &state, const RouterOptions &options) -> void
+auto updateOptions(RouterState &state, const RouterOptions &options) -> void
 {
     state.options.retries = options.retries;
     state.options.keyFreshness = options.keyFreshness;
-    state.options.overduePatience = options.overduePatience;
+    state.options.outdatedTolerance = options.outdatedTolerance;
 }
 
 auto takeReport(RouterState &state) -> PeerReported
 {
-    detail::countWaiting(state);
-    detail::countArrivals(state);
+    detail::updateWaitingTokens(state);
+    detail::updateOwnArrivalRates(state);
     return makeEntryReport(state.servers, state.options.entry, state.now);
 }
 
-auto takeSum(const RouterState &state, ReportScope scope) -> PeerReported
+auto takeAggregateReport(const RouterState &state, ReportScope scope) -> PeerReported
 {
     return makeSumReport(state.servers, state.options.entry, scope, state.now);
 }
@@ -235,14 +235,14 @@
     };
 }
 
-auto isFresh(const RouterState &state, TimePoint now) -> bool
+auto isConfigurationFresh(const RouterState &state, TimePoint now) -> bool
 {
-    return state.table && now - state.confirmedAt < state.options.keyFreshness && !isOverdue(state, now);
+    return state.table && now - state.confirmedAt < state.options.keyFreshness && !isConfigurationOverdue(state, now);
 }
 
-auto isOverdue(const RouterState &state, TimePoint now) -> bool
+auto isConfigurationOverdue(const RouterState &state, TimePoint now) -> bool
 {
-    return state.outdatedSince && now - *state.outdatedSince >= state.options.overduePatience;
+    return state.outdatedSince && now - *state.outdatedSince >= state.options.outdatedTolerance;
 }
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/router.h
+++ b/src/core/passthrough/router.h
@@ -1,7 +1,7 @@
 /// \file
-/// The decision core of the pass-through face: `(state, event, now) -> actions`. No socket, clock, thread, log or global.
+/// The decision core of the pass-through router: `(state, event, now) -> actions`. It uses no sockets, clocks, threads, logs or globals.
 ///
-/// \p now must come from a clock that also counts the time in which the VM was suspended: a withdrawn key's time runs on.
+/// \p now must come from a clock that includes the time during which the VM is suspended, because a withdrawn key also expires then.
 
 #pragma once
 
@@ -18,11 +18,11 @@
 {
 
 struct RouterOptions {
-    std::string entry; ///< this entry's name
+    std::string entry; ///< name of this entry
     std::string failureDomain;
     RetryBounds retries;
-    Duration keyFreshness = std::chrono::milliseconds(4500);    ///< a configuration confirmed longer ago admits no key
-    Duration overduePatience = std::chrono::milliseconds(1200); ///< a newer one heard of longer ago admits no request
+    Duration keyFreshness = std::chrono::milliseconds(4500);      ///< no key is admitted if the configuration was last confirmed longer ago
+    Duration outdatedTolerance = std::chrono::milliseconds(1200); ///< no request is admitted if a newer configuration has been known for longer
 };
 
 struct RouterState;
@@ -34,43 +34,43 @@
 
 auto makeRouter(RouterOptions options) -> RouterStatePointer;
 
-/// Takes one event in at \p now, never earlier than the last one.
+/// Processes one event. A \p now before that of the previous event is raised to it.
 auto step(RouterState &state, const Event &event, TimePoint now) -> Actions;
 
-/// From now on the bounds in \p options hold, also for requests that wait; the names in it don't count.
-auto changeBounds(RouterState &state, const RouterOptions &options) -> void;
+/// Applies the limits in \p options from now on, also to queued requests. The names in \p options are ignored.
+auto updateOptions(RouterState &state, const RouterOptions &options) -> void;
 
-/// What this entry has in flight, for the other entries.
+/// Creates the load report of this entry for the other entries.
 auto takeReport(RouterState &state) -> PeerReported;
-/// What the entries of this one's failure domain, or all, have in flight, as far as they reported to this one.
-auto takeSum(const RouterState &state, ReportScope scope) -> PeerReported;
+/// Creates an aggregate of the load reports that this entry received from its failure domain, or from all entries, with its own.
+auto takeAggregateReport(const RouterState &state, ReportScope scope) -> PeerReported;
 
-/// What the servers of a service have to do, of all entries.
+/// Load of the servers of a service from all entries.
 struct ServiceLoad {
-    std::uint32_t servers = 0; ///< that get new work
-    std::uint32_t slots = 0;   ///< of these
+    std::uint32_t servers = 0; ///< servers that accept new requests
+    std::uint32_t slots = 0;   ///< request slots of these servers
     std::uint32_t requests = 0;
-    std::uint64_t unreadTokens = 0; ///< of prompts, those that wait at the entries included
-    double tokensPerMs = 1;         ///< that one server reads
+    std::uint64_t unreadTokens = 0; ///< tokens of prompts, including those that are queued at the entries
+    double tokensPerMs = 1;         ///< prompt tokens that one server processes
 };
 auto loadOfService(const RouterState &state, const std::string &service, TimePoint now) -> ServiceLoad;
 
-/// What an operator sees.
+/// Status of the router for operators.
 struct RouterStatus {
     std::uint64_t configurationVersion = 0; ///< 0: none yet
     std::uint32_t waiting = 0;
     std::uint32_t inFlight = 0;
     std::uint32_t servers = 0;
-    std::uint32_t limitedServers = 0; ///< of these, with a limit on their requests
+    std::uint32_t limitedServers = 0; ///< servers with a rate limit
     std::uint32_t entries = 1;
-    Duration configurationAge{}; ///< since it was last confirmed
+    Duration configurationAge{}; ///< time since the configuration was last confirmed
 };
 auto statusOf(const RouterState &state, TimePoint now) -> RouterStatus;
 
-/// Whether the configuration was confirmed lately enough to admit keys, and no newer one is overdue.
-auto isFresh(const RouterState &state, TimePoint now) -> bool;
+/// Whether the configuration was confirmed recently enough to admit keys, and no newer one is overdue.
+auto isConfigurationFresh(const RouterState &state, TimePoint now) -> bool;
 
-/// Whether the entry has known of a newer configuration for so long that the one it has must not be in force any more.
-auto isOverdue(const RouterState &state, TimePoint now) -> bool;
+/// Whether the entry has known of a newer configuration for so long that its own must no longer be used.
+auto isConfigurationOverdue(const RouterState &state, TimePoint now) -> bool;
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/routetable.cpp
+++ b/src/core/passthrough/routetable.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Host names compare without regard to case, and a port says nothing about the route.
+/// Converts the host name to lower case and removes the port, which does not affect routing.
 auto normalizeHost(std::string_view host) -> std::string
 {
     std::string normal(host.substr(0, host.find(':')));
--- a/src/core/passthrough/routetable.h
+++ b/src/core/passthrough/routetable.h
@@ -1,5 +1,5 @@
 /// \file
-/// Finds the route of a request and the workspace of a key.
+/// Lookup of the route of a request and of the workspace of a key.
 
 #pragma once
 
@@ -14,20 +14,21 @@
 namespace auburnspread::passthrough
 {
 
-/// Indexes one configuration; the routes and workspaces live as long as the table.
+/// Index of one configuration. Returned routes, workspaces and services are valid as long as the table exists.
 class RouteTable
 {
 public:
     explicit RouteTable(Configuration configuration);
 
-    /// The route of the host whose prefix is the longest that begins the path, or nothing. The port of \p host and the
-    /// query of \p path do not count.
+    /// Finds the route of the host with the longest prefix that matches the path. The port of \p host and the query of
+    /// \p path are ignored.
+    /// \return null if no route matches
     [[nodiscard]] auto findRoute(std::string_view host, std::string_view path) const -> const Route *;
     [[nodiscard]] auto findWorkspace(std::string_view key) const -> const Workspace *;
     [[nodiscard]] auto findService(std::string_view name) const -> const Service *;
-    /// How many tiers less urgent than that of \p route the routes to its services have.
+    /// Number of different less urgent tiers among the routes that share a service with \p route.
     [[nodiscard]] auto lessUrgentTiers(const Route &route) const -> int;
-    /// Whether routes to its services have more urgent tiers.
+    /// Whether a route that shares a service with \p route has a more urgent tier.
     [[nodiscard]] auto hasMoreUrgentTiers(const Route &route) const -> bool;
     [[nodiscard]] auto configuration() const -> const Configuration &;
 
@@ -36,7 +37,7 @@
     std::unordered_map<std::string, std::vector<const Route *>> routesByHost_; ///< longest prefix first
     std::unordered_map<std::string_view, const Workspace *> workspacesByKey_;
     std::unordered_map<std::string_view, const Service *> services_;
-    std::unordered_map<std::string_view, std::set<int>> tiers_; ///< of the routes to a service
+    std::unordered_map<std::string_view, std::set<int>> tiers_; ///< tiers of the routes to a service
 };
 
 } // namespace auburnspread::passthrough
--- a/src/core/passthrough/servertable.cpp
+++ b/src/core/passthrough/servertable.cpp
@@ -107,7 +107,7 @@
 auto returnDeadlineFor(const ServerTable &table, std::optional<TimePoint> outageEndedAt) -> std::optional<TimePoint>
 {
     const auto lapsed = outageEndedAt && table.listAsOf < *outageEndedAt;
-    return lapsed ? std::optional(*outageEndedAt + ReturnTime) : std::nullopt;
+    return lapsed ? std::optional(*outageEndedAt + ReregistrationTime) : std::nullopt;
 }
 
 /// \return whether the missing server is kept for now
--- a/src/core/passthrough/tests/ejection_tests.cpp
+++ b/src/core/passthrough/tests/ejection_tests.cpp
@@ -109,15 +109,15 @@
 /// is therefore the only one with capacity.
 TEST(EjectionTests, aServerGetsOneRequestAtATimeAfterItsEjection)
 {
-    World world;
+    RouterHarness harness;
     PeerReported report{ .entry = "entry-2" };
     report.uses.push_back({ .server = "e1", .ejectedFor = std::chrono::seconds(1) });
-    world.apply(report);
-    EXPECT_EQ(find<Send>(world.arrive(CheckPath))->server, "e2");
-    world.pass(std::chrono::milliseconds(2100));
+    harness.apply(report);
+    EXPECT_EQ(find<Send>(harness.arrive(CheckPath))->server, "e2");
+    harness.advance(std::chrono::milliseconds(2100));
     auto sentToReturned = 0;
     for (auto i = 0; i < 30; ++i) {
-        const auto sent = find<Send>(world.arrive(CheckPath));
+        const auto sent = find<Send>(harness.arrive(CheckPath));
         sentToReturned += sent && sent->server == "e1" ? 1 : 0;
     }
     EXPECT_EQ(sentToReturned, 1);
--- a/src/core/passthrough/tests/ending_tests.cpp
+++ b/src/core/passthrough/tests/ending_tests.cpp
@@ -6,14 +6,14 @@
 using namespace auburnspread::passthrough;
 using namespace auburnspread::passthrough::tests;
 
-/// What a caller sees: no answer at all. Its server stays silent; at the route's timeout it must get a final answer that
-/// promises nothing, and the server must be told to stop.
-TEST(EndingTests, aRequestGetsItsFinalAnswerAtItsRoutesTimeout)
+/// Guards against a request that never gets a response because its server stays silent. At the route's timeout the caller must get a
+/// final status that leaves open whether the request ran, and the attempt must be cancelled.
+TEST(EndingTests, aRequestGetsAFinalStatusAtTheTimeoutOfItsRoute)
 {
-    World world;
-    const auto sent = find<Send>(world.arrive(NoticePath));
-    EXPECT_EQ(count<Refuse>(world.pass(std::chrono::milliseconds(4980))), 0U);
-    const auto actions = world.pass(std::chrono::milliseconds(40));
+    RouterHarness harness;
+    const auto sent = find<Send>(harness.arrive(NoticePath));
+    EXPECT_EQ(count<Refuse>(harness.advance(std::chrono::milliseconds(4980))), 0U);
+    const auto actions = harness.advance(std::chrono::milliseconds(40));
     ASSERT_TRUE(find<Refuse>(actions));
     EXPECT_EQ(find<Refuse>(actions)->status, 504);
     EXPECT_EQ(find<Cancel>(actions)->attempt, sent->attempt);
@@ -21,45 +21,45 @@
 
 TEST(EndingTests, theCallersDeadlineShortensTheTimeout)
 {
-    World world;
-    auto request = world.request(NoticePath);
+    RouterHarness harness;
+    auto request = harness.request(NoticePath);
     request.deadline = std::chrono::milliseconds(700);
-    const auto sent = find<Send>(world.apply(request));
+    const auto sent = find<Send>(harness.apply(request));
     EXPECT_EQ(sent->remaining, std::chrono::milliseconds(700));
-    EXPECT_TRUE(find<Refuse>(world.pass(std::chrono::milliseconds(720))));
+    EXPECT_TRUE(find<Refuse>(harness.advance(std::chrono::milliseconds(720))));
 }
 
-/// What a caller sees: it waits in vain. All servers are gone and come back too late; what is given up is answered at once,
-/// as not run, with a time to come back.
-TEST(EndingTests, aRequestThatFindsNoServerIsGivenUpWhileItsCallerCanStillComeBack)
+/// Guards against a caller that waits until its own timeout while all servers are gone. The request must be refused early, as not run
+/// and with a retry delay.
+TEST(EndingTests, aRequestWithoutAServerIsRefusedWhileItsCallerCanStillRetry)
 {
-    World world;
-    world.apply(ServersListed{ .servers = {} });
-    EXPECT_EQ(world.arrive(NoticePath).size(), 0U);
-    const auto refused = find<Refuse>(world.pass(std::chrono::milliseconds(2600)));
+    RouterHarness harness;
+    harness.apply(ServersListed{ .servers = {} });
+    EXPECT_EQ(harness.arrive(NoticePath).size(), 0U);
+    const auto refused = find<Refuse>(harness.advance(std::chrono::milliseconds(2600)));
     ASSERT_TRUE(refused);
     EXPECT_EQ(refused->status, 503);
     EXPECT_TRUE(refused->retryAfter);
 }
 
-TEST(EndingTests, aCallerThatLeavesEndsWhatMayBeRepeatedAndLetsTheRestRunOn)
+TEST(EndingTests, aDisconnectCancelsOnlyRequestsThatMayBeRepeated)
 {
-    World world;
-    auto check = world.request(CheckPath);
-    const auto stream = find<Send>(world.apply(check));
-    EXPECT_EQ(find<Cancel>(world.apply(CallerGone{ .request = check.request }))->attempt, stream->attempt);
+    RouterHarness harness;
+    auto check = harness.request(CheckPath);
+    const auto stream = find<Send>(harness.apply(check));
+    EXPECT_EQ(find<Cancel>(harness.apply(CallerGone{ .request = check.request }))->attempt, stream->attempt);
 
-    auto notice = world.request(NoticePath);
-    const auto call = find<Send>(world.apply(notice));
-    EXPECT_EQ(count<Cancel>(world.apply(CallerGone{ .request = notice.request })), 0U);
-    EXPECT_EQ(count<Refuse>(world.apply(AttemptFailed{ .attempt = call->attempt, .failure = Failure::ConnectFailed })), 1U);
+    auto notice = harness.request(NoticePath);
+    const auto call = find<Send>(harness.apply(notice));
+    EXPECT_EQ(count<Cancel>(harness.apply(CallerGone{ .request = notice.request })), 0U);
+    EXPECT_EQ(count<Refuse>(harness.apply(AttemptFailed{ .attempt = call->attempt, .failure = Failure::ConnectFailed })), 1U);
 }
 
-TEST(EndingTests, aClosingEntryRefusesWhatArrivesAndEndsTheRest)
+TEST(EndingTests, aClosingEntryRefusesNewRequestsAndCompletesRunningOnes)
 {
-    World world;
-    const auto sent = find<Send>(world.arrive(NoticePath));
-    world.apply(ClosingStarted{});
-    EXPECT_EQ(find<Refuse>(world.arrive(NoticePath))->reason, Reason::Draining);
-    EXPECT_TRUE(find<Deliver>(world.apply(AttemptAnswered{ .attempt = sent->attempt, .status = 200 })));
+    RouterHarness harness;
+    const auto sent = find<Send>(harness.arrive(NoticePath));
+    harness.apply(ClosingStarted{});
+    EXPECT_EQ(find<Refuse>(harness.arrive(NoticePath))->reason, Reason::Draining);
+    EXPECT_TRUE(find<Deliver>(harness.apply(AttemptAnswered{ .attempt = sent->attempt, .status = 200 })));
 }
--- a/src/core/passthrough/tests/limitedfleet.cpp
+++ b/src/core/passthrough/tests/limitedfleet.cpp
@@ -131,7 +131,7 @@
         step(*entry.router, ConfigurationAdopted{ makeConfiguration() }, now_);
         step(*entry.router, ConfigurationConfirmed{ .asOf = now_ + std::chrono::hours(1) }, now_);
         step(*entry.router, ServersListed{ .servers = servers_, .asOf = now_ }, now_);
-        step(*entry.router, EntriesCounted{ .isGuess = true }, now_);
+        step(*entry.router, EntriesCounted{ .isProvisional = true }, now_);
     }
 
     auto announceEntries() -> void
@@ -248,7 +248,7 @@
         } else {
             entries_.at(number).limitReceivedAt.erase(server);
         }
-        apply(number, LimitStated{ .attempt = attempt, .perSecond = limit });
+        apply(number, RateLimitReported{ .attempt = attempt, .perSecond = limit });
         apply(number, AttemptAnswered{ .attempt = attempt, .status = 200 });
     }
 
@@ -321,11 +321,11 @@
         if (entries_[from].isDown) {
             return;
         }
-        const auto domainReport = takeSum(*entries_[from].router, ReportScope::FailureDomain);
+        const auto domainReport = takeAggregateReport(*entries_[from].router, ReportScope::FailureDomain);
         for (std::size_t other = 0; other < options_.failureDomains; ++other) {
             deliver(from, hubOf(other), domainReport);
         }
-        const auto fleetReport = takeSum(*entries_[from].router, ReportScope::Fleet);
+        const auto fleetReport = takeAggregateReport(*entries_[from].router, ReportScope::Fleet);
         for (auto to = domain; to < entries_.size(); to += options_.failureDomains) {
             deliver(from, to, fleetReport);
         }
--- a/src/core/passthrough/tests/manyservers_tests.cpp
+++ b/src/core/passthrough/tests/manyservers_tests.cpp
@@ -64,16 +64,16 @@
 /// Guards against a session that has to wait for its full shard while engines of other shards are idle.
 TEST(ManyServersTests, aSessionUsesItsFallbackShardWhenItsOwnIsFull)
 {
-    World world;
-    world.apply(ServersListed{ .servers = makeEngines(600), .asOf = world.now() });
-    const auto quote = [&world]() {
-        auto request = world.request(QuotePath);
-        request.prompt = { .tokens = 9000, .answerTokens = 50, .parts = { { .id = 7, .tokens = 6000 }, { .id = 0, .tokens = 3000 } } };
+    RouterHarness harness;
+    harness.apply(ServersListed{ .servers = makeEngines(600), .asOf = harness.now() });
+    const auto quote = [&harness]() {
+        auto request = harness.request(QuotePath);
+        request.prompt = { .tokens = 9000, .maxAnswerTokens = 50, .parts = { { .id = 7, .tokens = 6000 }, { .id = 0, .tokens = 3000 } } };
         return request;
     };
-    const auto first = find<Send>(world.apply(quote()));
+    const auto first = find<Send>(harness.apply(quote()));
     ASSERT_TRUE(first);
-    const auto &group = world.router().servers.byService.at("engines");
+    const auto &group = harness.router().servers.byService.at("engines");
     PeerReported full{ .entry = "entry-2" };
     for (const auto &part : group.shards) {
         const auto holdsFirst = std::any_of(part.begin(), part.end(), [&first](const ServerPointer &server) { return server->record.id == first->server; });
@@ -83,8 +83,8 @@
             }
         }
     }
-    world.apply(full);
-    EXPECT_TRUE(find<Send>(world.apply(quote())));
+    harness.apply(full);
+    EXPECT_TRUE(find<Send>(harness.apply(quote())));
 }
 
 /// Guards against an aggregate that exceeds the size of a datagram and is lost as a whole.
@@ -101,7 +101,7 @@
     const auto sum = makeSumReport(table, "entry-1", ReportScope::Fleet, Now);
     EXPECT_EQ(sum.uses.size(), Most);
     const auto names = [&sum](const std::string &id) {
-        return std::any_of(sum.uses.begin(), sum.uses.end(), [&id](const PeerReported::Use &use) { return use.server == id; });
+        return std::any_of(sum.uses.begin(), sum.uses.end(), [&id](const PeerReported::ServerUsage &use) { return use.server == id; });
     };
     EXPECT_TRUE(names("e999"));
     EXPECT_TRUE(names("e3"));
@@ -133,8 +133,8 @@
     const auto back = Now + std::chrono::seconds(5);
     applyServerChanges(table, { .removed = { "e1" }, .asOf = back, .outageEndedAt = back }, back);
     EXPECT_TRUE(findServer(table, "e1"));
-    removeLapsedServers(table, back + ReturnTime);
+    removeLapsedServers(table, back + ReregistrationTime);
     EXPECT_FALSE(findServer(table, "e1"));
-    applyServerChanges(table, { .removed = { "e2" }, .asOf = back + ReturnTime, .outageEndedAt = back }, back + ReturnTime);
+    applyServerChanges(table, { .removed = { "e2" }, .asOf = back + ReregistrationTime, .outageEndedAt = back }, back + ReregistrationTime);
     EXPECT_FALSE(findServer(table, "e2")) << "a list after the outage contained it";
 }
--- a/src/core/passthrough/tests/overload_tests.cpp
+++ b/src/core/passthrough/tests/overload_tests.cpp
@@ -10,37 +10,38 @@
 namespace
 {
 
-auto makeQuote(World &world, Duration deadline) -> RequestArrived
+auto makeQuote(RouterHarness &harness, Duration deadline) -> RequestArrived
 {
-    auto quote = world.request(QuotePath);
-    quote.prompt = { .tokens = 9000, .answerTokens = 50, .parts = { { .id = 1, .tokens = 2500 }, { .id = 7, .tokens = 3700 }, { .id = 0, .tokens = 2800 } } };
+    auto quote = harness.request(QuotePath);
+    quote.prompt
+        = { .tokens = 9000, .maxAnswerTokens = 50, .parts = { { .id = 1, .tokens = 2500 }, { .id = 7, .tokens = 3700 }, { .id = 0, .tokens = 2800 } } };
     quote.deadline = deadline;
     return quote;
 }
 
-/// Reports that both engines have this much to read.
-auto fillEngines(World &world, std::uint32_t unreadTokens) -> void
+/// Reports that both engines have this many prompt tokens to process.
+auto fillEngines(RouterHarness &harness, std::uint32_t unreadTokens) -> void
 {
     PeerReported report{ .entry = "entry-2" };
     for (const auto *engine : { "e1", "e2" }) {
         report.uses.push_back({ .server = engine, .inFlight = 5, .unreadTokens = unreadTokens, .heldTokens = 40'000 });
     }
-    world.apply(report);
+    harness.apply(report);
 }
 
 } // namespace
 
-/// What a caller sees: it is kept for seconds and then refused. No engine can begin its answer by the target; it is told
-/// well before it gives up that nothing ran and when to come back.
-TEST(OverloadTests, whatCannotBeginOnTimeIsRefusedSoon)
+/// Guards against a caller that waits for seconds and is then refused. No engine can start its response by the target, so it must be
+/// refused well before it gives up, as not run and with a retry delay.
+TEST(OverloadTests, requestsThatCannotStartOnTimeAreRefusedEarly)
 {
-    World world;
-    fillEngines(world, 60'000);
-    EXPECT_EQ(world.apply(makeQuote(world, std::chrono::seconds(5))).size(), 0U);
+    RouterHarness harness;
+    fillEngines(harness, 60'000);
+    EXPECT_EQ(harness.apply(makeQuote(harness, std::chrono::seconds(5))).size(), 0U);
     std::optional<Refuse> refused;
     for (auto waited = 0; waited < 300 && !refused; waited += 20) {
-        fillEngines(world, 60'000);
-        refused = find<Refuse>(world.pass(std::chrono::milliseconds(20)));
+        fillEngines(harness, 60'000);
+        refused = find<Refuse>(harness.advance(std::chrono::milliseconds(20)));
     }
     ASSERT_TRUE(refused);
     EXPECT_EQ(refused->status, 503);
@@ -48,51 +49,50 @@
     EXPECT_GE(refused->retryAfter, std::chrono::milliseconds(400));
 }
 
-/// What callers see: a chat that gets nothing, while digests of many times its size begin. Digests may begin seconds later, so they
-/// would be let to fill the engines until that time; a more urgent prompt with a shorter target then finds no engine. Less may lie
-/// before a less urgent prompt, whatever its target.
+/// Guards against urgent requests that find no engine while much larger, less urgent ones are sent. Prompts with a target of seconds
+/// would be allowed to fill the engines up to that target, so the work ahead of a less urgent prompt must be limited whatever its target.
 TEST(OverloadTests, lessUrgentPromptsLeaveRoomForMoreUrgentOnes)
 {
-    World world;
+    RouterHarness harness;
     auto configuration = makeConfiguration(2);
     configuration.routes[0].target = std::chrono::milliseconds(2500);
     configuration.routes[1].target = std::chrono::milliseconds(800);
-    world.apply(ConfigurationAdopted{ configuration });
+    harness.apply(ConfigurationAdopted{ configuration });
     constexpr std::uint32_t Unread = 16'000; // about 0.3 s
-    fillEngines(world, Unread);
-    EXPECT_FALSE(find<Send>(world.apply(makeQuote(world, std::chrono::seconds(5)))));
-    fillEngines(world, Unread);
-    auto check = makeQuote(world, std::chrono::seconds(5));
+    fillEngines(harness, Unread);
+    EXPECT_FALSE(find<Send>(harness.apply(makeQuote(harness, std::chrono::seconds(5)))));
+    fillEngines(harness, Unread);
+    auto check = makeQuote(harness, std::chrono::seconds(5));
     check.path = CheckPath;
-    EXPECT_TRUE(find<Send>(world.apply(check)));
+    EXPECT_TRUE(find<Send>(harness.apply(check)));
 }
 
-/// What callers see: chats refused by the dozen on a day that is calm for them, while digests of ten times their size begin. Many
-/// digests wait, and what waits is released by chance; a more urgent prompt must not have to wait for its turn among them.
-TEST(OverloadTests, moreUrgentPromptsAreNotReleasedByChance)
+/// Guards against urgent requests that are refused while many much larger, less urgent ones are queued. Queued requests are released at
+/// random in proportion to the free capacity; a more urgent prompt must not depend on that.
+TEST(OverloadTests, moreUrgentPromptsAreNotReleasedAtRandom)
 {
-    World world;
+    RouterHarness harness;
     PeerReported report{ .entry = "entry-2" };
     for (const auto *engine : { "e1", "e2" }) {
         report.uses.push_back({ .server = engine, .inFlight = 5, .unreadTokens = 4000, .heldTokens = 40'000, .waitingTokens = 5'000'000 });
     }
     for (auto i = 0; i < 10; ++i) {
-        world.apply(report);
-        EXPECT_FALSE(find<Send>(world.apply(makeQuote(world, std::chrono::seconds(5)))));
-        world.apply(report);
-        EXPECT_TRUE(find<Send>(world.arrive(CheckPath)));
+        harness.apply(report);
+        EXPECT_FALSE(find<Send>(harness.apply(makeQuote(harness, std::chrono::seconds(5)))));
+        harness.apply(report);
+        EXPECT_TRUE(find<Send>(harness.arrive(CheckPath)));
     }
 }
 
-TEST(OverloadTests, refusedCallersDoNotComeBackTogether)
+TEST(OverloadTests, refusedCallersGetDifferentRetryDelays)
 {
-    World world;
-    fillEngines(world, 60'000);
+    RouterHarness harness;
+    fillEngines(harness, 60'000);
     std::set<Duration> times;
     for (auto i = 0; i < 20; ++i) {
-        world.apply(makeQuote(world, std::chrono::seconds(5)));
+        harness.apply(makeQuote(harness, std::chrono::seconds(5)));
     }
-    for (const auto &action : world.pass(std::chrono::milliseconds(400))) {
+    for (const auto &action : harness.advance(std::chrono::milliseconds(400))) {
         if (const auto *refused = std::get_if<Refuse>(&action)) {
             times.insert(*refused->retryAfter);
         }
@@ -100,36 +100,36 @@
     EXPECT_GE(times.size(), 15U);
 }
 
-/// What callers see: under a lasting burst nobody is on time, because those that were refused come back and take the
-/// places of the new ones. A caller that comes back has less time left than others have at first; it goes behind.
-TEST(OverloadTests, aCallerThatComesBackGoesBehindOneThatCanBeOnTime)
+/// Guards against a long burst in which no request is on time, because retries of refused callers take the place of new requests. A
+/// retry has less time left than a first try, and must be queued behind it.
+TEST(OverloadTests, retriesOfRefusedCallersGoBehindFirstTries)
 {
-    World world;
-    const auto earlier = find<Send>(world.apply(makeQuote(world, std::chrono::seconds(5))));
-    world.apply(AttemptStarted{ .attempt = earlier->attempt }); // its prompt was read
-    fillEngines(world, 8000);                                   // some of them were read by the time this is heard
-    EXPECT_EQ(count<Send>(world.apply(makeQuote(world, std::chrono::milliseconds(3500)))), 0U) << "it came back";
-    EXPECT_EQ(count<Send>(world.apply(makeQuote(world, std::chrono::seconds(5)))), 1U) << "it is new";
+    RouterHarness harness;
+    const auto earlier = find<Send>(harness.apply(makeQuote(harness, std::chrono::seconds(5))));
+    harness.apply(AttemptStarted{ .attempt = earlier->attempt }); // its prompt was processed
+    fillEngines(harness, 8000);                                   // some of these tokens are processed by the time the report arrives
+    EXPECT_EQ(count<Send>(harness.apply(makeQuote(harness, std::chrono::milliseconds(3500)))), 0U) << "a retry by its caller";
+    EXPECT_EQ(count<Send>(harness.apply(makeQuote(harness, std::chrono::seconds(5)))), 1U) << "a first try";
 }
 
-/// What callers see: a line check is refused while long prompts fill the fleet. Short prompts go first at the engines and
-/// are not held back by what long ones have before them on other engines.
+/// Guards against short prompts that are refused while long prompts fill the fleet. Engines process short prompts first, so the work
+/// ahead of long prompts on other engines must not hold them back.
 TEST(OverloadTests, shortPromptsAreServedWhileLongOnesWait)
 {
-    World world;
-    fillEngines(world, 60'000);
+    RouterHarness harness;
+    fillEngines(harness, 60'000);
     PeerReported shortPrompts{ .entry = "entry-3", .uses = { { .server = "e1", .inFlight = 4, .shortPrompts = 4 } } };
-    world.apply(shortPrompts);
-    world.pass(std::chrono::milliseconds(20));
+    harness.apply(shortPrompts);
+    harness.advance(std::chrono::milliseconds(20));
     PeerReported calm{ .entry = "entry-2", .uses = { { .server = "e2", .inFlight = 5, .unreadTokens = 60'000, .heldTokens = 40'000 } } };
     calm.uses.push_back({ .server = "e1", .inFlight = 4, .shortPrompts = 4 });
-    world.apply(calm);
-    EXPECT_EQ(count<Send>(world.arrive(CheckPath)), 1U);
+    harness.apply(calm);
+    EXPECT_EQ(count<Send>(harness.arrive(CheckPath)), 1U);
 }
 
-/// What callers see: entries that believe the fleet is twice as full as it is, or empty. A sum of all entries holds this
-/// entry's own requests too; they must not count twice, also when they have ended meanwhile.
-TEST(ReportTests, aSumDoesNotCountOwnRequestsTwice)
+/// Guards against entries that estimate twice the load of the fleet, or none. An aggregate of all entries includes the requests of the
+/// receiving entry; they must not be counted twice, also if they have ended in the meantime.
+TEST(ReportTests, anAggregateReportDoesNotCountOwnRequestsTwice)
 {
     ServerTable table;
     const TimePoint now(std::chrono::hours(1));
@@ -148,25 +148,25 @@
     EXPECT_EQ(totalLoad(server).inFlight, 9U);
     EXPECT_EQ(totalLoad(server).unreadTokens, 27'000U);
     expirePeerReports(table, now + std::chrono::seconds(2));
-    EXPECT_EQ(totalLoad(server).inFlight, 1U) << "an old sum says nothing";
+    EXPECT_EQ(totalLoad(server).inFlight, 1U) << "an expired aggregate is ignored";
 }
 
 namespace
 {
 
-auto makeSum(ReportScope scope, const std::string &domain, std::uint32_t entries, std::uint32_t inFlight) -> PeerReported
+auto makeAggregate(ReportScope scope, const std::string &domain, std::uint32_t entries, std::uint32_t inFlight) -> PeerReported
 {
     return { .entry = "hub", .failureDomain = domain, .scope = scope, .entries = entries, .uses = { { .server = "e1", .inFlight = inFlight } } };
 }
 
-struct Told {
-    Told()
+struct PeerReportFixture {
+    PeerReportFixture()
     {
         table.failureDomain = "a";
         applyServerList(table, { .servers = makeServers() }, now);
     }
 
-    [[nodiscard]] auto believed() const -> std::uint32_t
+    [[nodiscard]] auto estimatedInFlight() const -> std::uint32_t
     {
         return totalLoad(*findServer(table, "e1")).inFlight;
     }
@@ -177,49 +177,50 @@
 
 } // namespace
 
-/// What callers see: quotes on engines that are full. One of those that sum up was cut from most entries, and its sum comes last. It is
-/// believed once nobody has told of more for a while, as the others may be gone.
-TEST(ReportTests, aSumOfFewEntriesDoesNotReplaceOneOfMany)
+/// Guards against requests to full engines. A hub that is cut off from most entries sends its aggregate last. It must be used only after
+/// no larger aggregate has arrived for a while, because the other entries may be gone by then.
+TEST(ReportTests, anAggregateOfFewEntriesDoesNotReplaceOneOfMany)
 {
-    Told told;
-    applyPeerReport(told.table, makeSum(ReportScope::Fleet, "a", 60, 12), told.now);
-    applyPeerReport(told.table, makeSum(ReportScope::Fleet, "a", 20, 4), told.now + std::chrono::milliseconds(50));
-    EXPECT_EQ(told.believed(), 12U);
-    applyPeerReport(told.table, makeSum(ReportScope::Fleet, "a", 20, 4), told.now + std::chrono::milliseconds(500));
-    EXPECT_EQ(told.believed(), 4U);
+    PeerReportFixture fixture;
+    applyPeerReport(fixture.table, makeAggregate(ReportScope::Fleet, "a", 60, 12), fixture.now);
+    applyPeerReport(fixture.table, makeAggregate(ReportScope::Fleet, "a", 20, 4), fixture.now + std::chrono::milliseconds(50));
+    EXPECT_EQ(fixture.estimatedInFlight(), 12U);
+    applyPeerReport(fixture.table, makeAggregate(ReportScope::Fleet, "a", 20, 4), fixture.now + std::chrono::milliseconds(500));
+    EXPECT_EQ(fixture.estimatedInFlight(), 4U);
 }
 
-/// What callers see: the same. Some entries take this one for a hub and tell it what they have; the sum of all holds that and far more.
-TEST(ReportTests, aFewReportsDoNotReplaceTheSumOfAll)
+/// Guards against requests to full engines. Some entries take this one for a hub and send it their reports; the fleet aggregate includes
+/// these and many more.
+TEST(ReportTests, singleReportsDoNotReplaceTheFleetAggregate)
 {
-    Told told;
-    applyPeerReport(told.table, makeSum(ReportScope::Fleet, "a", 60, 12), told.now);
-    applyPeerReport(told.table, makeSum(ReportScope::Entry, "a", 1, 2), told.now);
-    EXPECT_EQ(told.believed(), 12U);
+    PeerReportFixture fixture;
+    applyPeerReport(fixture.table, makeAggregate(ReportScope::Fleet, "a", 60, 12), fixture.now);
+    applyPeerReport(fixture.table, makeAggregate(ReportScope::Entry, "a", 1, 2), fixture.now);
+    EXPECT_EQ(fixture.estimatedInFlight(), 12U);
 }
 
-/// An entry of another failure domain that tells this one directly stands in the sum of its domain too.
-TEST(ReportTests, whoStandsInTheSumOfItsFailureDomainCountsOnce)
-{
-    Told told;
-    applyPeerReport(told.table, makeSum(ReportScope::Entry, "b", 1, 2), told.now);
-    EXPECT_EQ(told.believed(), 2U);
-    applyPeerReport(told.table, makeSum(ReportScope::FailureDomain, "b", 13, 7), told.now);
-    EXPECT_EQ(told.believed(), 7U);
-    applyPeerReport(told.table, makeSum(ReportScope::Entry, "a", 1, 3), told.now);
-    EXPECT_EQ(told.believed(), 10U);
-    EXPECT_EQ(makeSumReport(told.table, "self", ReportScope::FailureDomain, told.now).uses.at(0).inFlight, 3U);
-    EXPECT_EQ(makeSumReport(told.table, "self", ReportScope::Fleet, told.now).entries, 15U);
+/// An entry of another failure domain that reports to this one directly is also included in the aggregate of its domain.
+TEST(ReportTests, anEntryInTheAggregateOfItsFailureDomainCountsOnce)
+{
+    PeerReportFixture fixture;
+    applyPeerReport(fixture.table, makeAggregate(ReportScope::Entry, "b", 1, 2), fixture.now);
+    EXPECT_EQ(fixture.estimatedInFlight(), 2U);
+    applyPeerReport(fixture.table, makeAggregate(ReportScope::FailureDomain, "b", 13, 7), fixture.now);
+    EXPECT_EQ(fixture.estimatedInFlight(), 7U);
+    applyPeerReport(fixture.table, makeAggregate(ReportScope::Entry, "a", 1, 3), fixture.now);
+    EXPECT_EQ(fixture.estimatedInFlight(), 10U);
+    EXPECT_EQ(makeSumReport(fixture.table, "self", ReportScope::FailureDomain, fixture.now).uses.at(0).inFlight, 3U);
+    EXPECT_EQ(makeSumReport(fixture.table, "self", ReportScope::Fleet, fixture.now).entries, 15U);
 }
 
-/// What operators see: datagrams that grow until links are full. A part that one failure domain told came back to it as another's, was
-/// told again, and went round for ever.
-TEST(ReportTests, partsOfAnotherFailureDomainAreNotToldAsOwnOnes)
+/// Guards against datagrams that grow until the links are full. A prompt part that one failure domain reported came back to it as that of
+/// another domain, was reported again, and circulated forever.
+TEST(ReportTests, promptPartsOfAnotherFailureDomainAreNotReportedAsOwn)
 {
-    Told told;
-    auto sum = makeSum(ReportScope::FailureDomain, "b", 13, 7);
+    PeerReportFixture fixture;
+    auto sum = makeAggregate(ReportScope::FailureDomain, "b", 13, 7);
     sum.uses[0].sent = { { .id = 77, .tokens = 5000 } };
-    applyPeerReport(told.table, sum, told.now);
-    EXPECT_TRUE(makeSumReport(told.table, "self", ReportScope::FailureDomain, told.now).uses.empty());
-    EXPECT_EQ(makeSumReport(told.table, "self", ReportScope::Fleet, told.now).uses.at(0).sent.size(), 1U);
+    applyPeerReport(fixture.table, sum, fixture.now);
+    EXPECT_TRUE(makeSumReport(fixture.table, "self", ReportScope::FailureDomain, fixture.now).uses.empty());
+    EXPECT_EQ(makeSumReport(fixture.table, "self", ReportScope::Fleet, fixture.now).uses.at(0).sent.size(), 1U);
 }
--- a/src/core/passthrough/tests/placement_tests.cpp
+++ b/src/core/passthrough/tests/placement_tests.cpp
@@ -27,7 +27,7 @@
 
 auto makeQuote(std::uint64_t session) -> Prompt
 {
-    return { .tokens = 9190, .answerTokens = 50, .parts = { { .id = 1, .tokens = 2520 }, { .id = session, .tokens = 3780 }, { .id = 0, .tokens = 2890 } } };
+    return { .tokens = 9190, .maxAnswerTokens = 50, .parts = { { .id = 1, .tokens = 2520 }, { .id = session, .tokens = 3780 }, { .id = 0, .tokens = 2890 } } };
 }
 
 /// Records that the engine read the shared parts of the prompt two seconds ago.
@@ -40,7 +40,7 @@
 
 auto makeCheck(std::uint64_t session) -> Prompt
 {
-    return { .tokens = 826, .answerTokens = 290, .parts = { { .id = 2, .tokens = 119 }, { .id = session, .tokens = 79 }, { .id = 0, .tokens = 628 } } };
+    return { .tokens = 826, .maxAnswerTokens = 290, .parts = { { .id = 2, .tokens = 119 }, { .id = session, .tokens = 79 }, { .id = 0, .tokens = 628 } } };
 }
 
 } // namespace
--- a/src/core/passthrough/tests/replay.cpp
+++ b/src/core/passthrough/tests/replay.cpp
@@ -210,7 +210,7 @@
         const auto own = PromptPart{ .id = ++lastOwnPart_, .tokens = isLong ? OwnTokens : ShortOwnTokens };
         if (!isLong) {
             return { .tokens = ShortSharedTokens + ShortOwnTokens,
-                     .answerTokens = ShortAnswerTokens,
+                     .maxAnswerTokens = ShortAnswerTokens,
                      .parts = { { .id = 1, .tokens = ShortSharedTokens }, own } };
         }
         constexpr std::uint64_t FirstDocument = 10;
@@ -218,7 +218,7 @@
         const auto session = randomBelow(options_.load.sessions);
         return {
             .tokens = DocumentTokens + SessionTokens + OwnTokens,
-            .answerTokens = LongExpectedAnswerTokens,
+            .maxAnswerTokens = LongExpectedAnswerTokens,
             .parts = { { .id = FirstDocument + session % Documents, .tokens = DocumentTokens }, { .id = FirstSession + session, .tokens = SessionTokens }, own }
         };
     }
@@ -417,7 +417,7 @@
         if (isFirst) {
             callerRequest.isLate = now_ + NetworkLatency - callerRequest.firstSentAt > (callerRequest.isLong ? LongPromptTarget : ShortPromptTarget);
             schedule(NetworkLatency,
-                     [this, engineRequest]() { apply(engineRequest.entry, AttemptStarted{ .attempt = engineRequest.attempt, .goesToCaller = true }); });
+                     [this, engineRequest]() { apply(engineRequest.entry, AttemptStarted{ .attempt = engineRequest.attempt, .isForwarded = true }); });
         } else if (engineRequest.tokensSinceEvent == TokensPerEvent) {
             callerRequest.isLate = callerRequest.isLate || now_ - engineRequest.lastEventAt > (callerRequest.isLong ? LongPromptMaxPause : ShortPromptMaxPause);
             schedule(NetworkLatency, [this, engineRequest]() { apply(engineRequest.entry, AttemptProgress{ .attempt = engineRequest.attempt }); });
@@ -476,7 +476,7 @@
         constexpr Duration BatchingDelay = std::chrono::milliseconds(2);
         auto &due = earlyReportAt_[entry];
         if (due <= now_) {
-            due = std::max(now_ + BatchingDelay, reportedAt_[entry] + LeastReportInterval);
+            due = std::max(now_ + BatchingDelay, reportedAt_[entry] + MinReportInterval);
             schedule(due - now_, [this, entry]() { sendReport(entry); });
         }
     }
@@ -513,8 +513,9 @@
     {
         const auto &self = entries_.at(entry);
         if (isFirst) {
-            sendDatagrams(
-                fleet::hubsOfOtherDomains(known, self, static_cast<std::size_t>(reportRound_)), self, takeSum(*routers_.at(entry), ReportScope::FailureDomain));
+            sendDatagrams(fleet::hubsOfOtherDomains(known, self, static_cast<std::size_t>(reportRound_)),
+                          self,
+                          takeAggregateReport(*routers_.at(entry), ReportScope::FailureDomain));
         }
         std::vector<fleet::EntryRecord> members;
         std::int64_t number = 0;
@@ -523,7 +524,7 @@
                 members.push_back(each);
             }
         }
-        sendDatagrams(members, self, takeSum(*routers_.at(entry), ReportScope::Fleet));
+        sendDatagrams(members, self, takeAggregateReport(*routers_.at(entry), ReportScope::Fleet));
     }
 
     auto sendDatagrams(const std::vector<fleet::EntryRecord> &receivers, const fleet::EntryRecord &self, PeerReported report) -> void
--- a/src/core/passthrough/tests/retrybudget_tests.cpp
+++ b/src/core/passthrough/tests/retrybudget_tests.cpp
@@ -13,47 +13,47 @@
 
 } // namespace
 
-/// What callers see: backend servers that failed for a moment stay slow, because every entry sends everything twice.
-/// All answers fail for a minute while requests arrive; each entry asks for a repeat of each. In any window, what the
-/// entries were given together must stay within the bound that they share.
+/// Guards against backend servers that stay overloaded after a short failure because every entry retries every request. All responses
+/// fail for a minute while requests arrive, and a retry is attempted for each. In every window, the retries must stay within the shared
+/// limit.
 TEST(RetryBudgetTests, entriesTogetherStayWithinTheSharedBoundInEveryWindow)
 {
     RetryBudget budget;
     TimePoint now(std::chrono::hours(1));
     std::deque<TimePoint> sends;
-    std::deque<TimePoint> repeats;
+    std::deque<TimePoint> retries;
     for (auto i = 0; i < 3000; ++i) {
         now += std::chrono::milliseconds(20);
-        noteFirstSend(budget, Bounds, now);
+        recordFirstSend(budget, Bounds, now);
         sends.push_back(now);
-        if (takeRepeat(budget, Bounds, Entries, now)) {
-            repeats.push_back(now);
+        if (tryConsumeRetry(budget, Bounds, Entries, now)) {
+            retries.push_back(now);
         }
-        const auto forget = [now](std::deque<TimePoint> &times) {
+        const auto dropExpired = [now](std::deque<TimePoint> &times) {
             while (now - times.front() > Bounds.window) {
                 times.pop_front();
             }
         };
-        forget(sends);
-        if (!repeats.empty()) {
-            forget(repeats);
+        dropExpired(sends);
+        if (!retries.empty()) {
+            dropExpired(retries);
         }
         const auto allowed = Bounds.ratio * static_cast<double>(sends.size()) + Bounds.allowance / Entries;
-        ASSERT_LE(static_cast<double>(repeats.size()), allowed) << "after request " << i;
+        ASSERT_LE(static_cast<double>(retries.size()), allowed) << "after request " << i;
     }
-    EXPECT_GT(repeats.size(), 0U);
+    EXPECT_GT(retries.size(), 0U);
 }
 
-TEST(RetryBudgetTests, aQuietEntryHasItsPartOfTheAllowance)
+TEST(RetryBudgetTests, anIdleEntryHasItsShareOfTheAllowance)
 {
     RetryBudget budget;
     const TimePoint now(std::chrono::hours(1));
-    auto given = 0;
-    while (takeRepeat(budget, Bounds, Entries, now)) {
-        given += 1;
+    auto granted = 0;
+    while (tryConsumeRetry(budget, Bounds, Entries, now)) {
+        granted += 1;
     }
-    EXPECT_GE(given, 3);
-    EXPECT_LE(given, static_cast<int>(Bounds.allowance) / static_cast<int>(Entries));
-    EXPECT_FALSE(takeRepeat(budget, Bounds, Entries, now + Bounds.window / 2));
-    EXPECT_TRUE(takeRepeat(budget, Bounds, Entries, now + 2 * Bounds.window));
+    EXPECT_GE(granted, 3);
+    EXPECT_LE(granted, static_cast<int>(Bounds.allowance) / static_cast<int>(Entries));
+    EXPECT_FALSE(tryConsumeRetry(budget, Bounds, Entries, now + Bounds.window / 2));
+    EXPECT_TRUE(tryConsumeRetry(budget, Bounds, Entries, now + 2 * Bounds.window));
 }
--- a/src/core/passthrough/tests/serverlimit_tests.cpp
+++ b/src/core/passthrough/tests/serverlimit_tests.cpp
@@ -22,23 +22,23 @@
 }
 
 /// Sends a request to the only server of the plain service, which answers with this limit. \return whether the request was sent
-auto answerWithLimit(World &world, std::optional<double> perSecond) -> bool
+auto answerWithLimit(RouterHarness &harness, std::optional<double> perSecond) -> bool
 {
-    const auto sent = find<Send>(world.arrive(FetchPath));
+    const auto sent = find<Send>(harness.arrive(FetchPath));
     if (!sent) {
         return false;
     }
-    world.apply(LimitStated{ .attempt = sent->attempt, .perSecond = perSecond });
-    world.apply(AttemptAnswered{ .attempt = sent->attempt, .status = 200 });
+    harness.apply(RateLimitReported{ .attempt = sent->attempt, .perSecond = perSecond });
+    harness.apply(AttemptAnswered{ .attempt = sent->attempt, .status = 200 });
     return true;
 }
 
-auto makeSingleServerWorld() -> World
+auto makeSingleServerHarness() -> RouterHarness
 {
-    World world;
-    world.apply(ServersListed{ .servers = { makeServer("p1", "portal", 6) }, .asOf = world.now() + std::chrono::milliseconds(1) });
-    world.apply(EntriesCounted{ .entries = 1, .names = { "entry-1" } });
-    return world;
+    RouterHarness harness;
+    harness.apply(ServersListed{ .servers = { makeServer("p1", "portal", 6) }, .asOf = harness.now() + std::chrono::milliseconds(1) });
+    harness.apply(EntriesCounted{ .entries = 1, .names = { "entry-1" } });
+    return harness;
 }
 
 } // namespace
@@ -127,31 +127,31 @@
 
 TEST(ServerLimitTests, anAnswerToAnEarlierRequestDoesNotEndALimit)
 {
-    auto world = makeSingleServerWorld();
-    const auto early = find<Send>(world.arrive(FetchPath));
-    const auto late = find<Send>(world.arrive(FetchPath));
-    world.pass(std::chrono::milliseconds(20));
-    world.apply(LimitStated{ .attempt = late->attempt, .perSecond = 0.1 });
-    world.apply(LimitStated{ .attempt = early->attempt });
-    EXPECT_EQ(statusOf(world.router(), world.now()).limitedServers, 1U);
+    auto harness = makeSingleServerHarness();
+    const auto early = find<Send>(harness.arrive(FetchPath));
+    const auto late = find<Send>(harness.arrive(FetchPath));
+    harness.advance(std::chrono::milliseconds(20));
+    harness.apply(RateLimitReported{ .attempt = late->attempt, .perSecond = 0.1 });
+    harness.apply(RateLimitReported{ .attempt = early->attempt });
+    EXPECT_EQ(statusOf(harness.router(), harness.now()).limitedServers, 1U);
 }
 
 /// Guards against requests that wait forever after a server states a limit of zero: only another answer can end the limit.
 TEST(ServerLimitTests, aServerWithALimitOfZeroIsProbed)
 {
-    auto world = makeSingleServerWorld();
-    ASSERT_TRUE(answerWithLimit(world, 0));
-    world.pass(std::chrono::seconds(5));
-    EXPECT_TRUE(answerWithLimit(world, std::nullopt));
-    EXPECT_EQ(statusOf(world.router(), world.now()).limitedServers, 0U);
+    auto harness = makeSingleServerHarness();
+    ASSERT_TRUE(answerWithLimit(harness, 0));
+    harness.advance(std::chrono::seconds(5));
+    EXPECT_TRUE(answerWithLimit(harness, std::nullopt));
+    EXPECT_EQ(statusOf(harness.router(), harness.now()).limitedServers, 0U);
 }
 
 TEST(ServerLimitTests, aRestartedServerHasNoLimit)
 {
-    auto world = makeSingleServerWorld();
-    ASSERT_TRUE(answerWithLimit(world, 1));
+    auto harness = makeSingleServerHarness();
+    ASSERT_TRUE(answerWithLimit(harness, 1));
     auto restarted = makeServer("p1", "portal", 6);
     restarted.startedAt = 7;
-    world.apply(ServersListed{ .servers = { restarted }, .asOf = world.now() + std::chrono::milliseconds(1) });
-    EXPECT_EQ(statusOf(world.router(), world.now()).limitedServers, 0U);
+    harness.apply(ServersListed{ .servers = { restarted }, .asOf = harness.now() + std::chrono::milliseconds(1) });
+    EXPECT_EQ(statusOf(harness.router(), harness.now()).limitedServers, 0U);
 }
--- a/src/core/passthrough/tests/strain_tests.cpp
+++ b/src/core/passthrough/tests/strain_tests.cpp
@@ -20,7 +20,7 @@
 
 /// Lets requests with equally long prompts arrive while the engines have capacity for some of the waiting ones, and counts those that
 /// are sent.
-auto countSent(World &world, int requests) -> int
+auto countSent(RouterHarness &harness, int requests) -> int
 {
     auto sent = 0;
     for (auto i = 0; i < requests; ++i) {
@@ -28,34 +28,34 @@
         for (const auto *engine : { "e1", "e2" }) {
             report.uses.push_back({ .server = engine, .inFlight = 5, .heldTokens = 40'000, .waitingTokens = 20'000 });
         }
-        world.apply(report);
-        auto quote = world.request(QuotePath);
-        quote.prompt = { .tokens = 3000, .answerTokens = 50, .parts = { { .id = 10'000 + static_cast<std::uint64_t>(i), .tokens = 3000 } } };
-        const auto send = find<Send>(world.apply(quote));
+        harness.apply(report);
+        auto quote = harness.request(QuotePath);
+        quote.prompt = { .tokens = 3000, .maxAnswerTokens = 50, .parts = { { .id = 10'000 + static_cast<std::uint64_t>(i), .tokens = 3000 } } };
+        const auto send = find<Send>(harness.apply(quote));
         sent += send ? 1 : 0;
         if (send) {
-            world.apply(AttemptFailed{ .attempt = send->attempt, .failure = Failure::NotStarted });
+            harness.apply(AttemptFailed{ .attempt = send->attempt, .failure = Failure::NotStarted });
         } else {
-            world.apply(CallerGone{ .request = quote.request });
+            harness.apply(CallerGone{ .request = quote.request });
         }
     }
     return sent;
 }
 
 /// Relays one answer with this time between its events; the caller estimates a hundred tokens and waits for five seconds.
-auto relayAnswer(World &world, Duration interval) -> void
+auto relayAnswer(RouterHarness &harness, Duration interval) -> void
 {
     constexpr auto Events = 40;
-    auto quote = world.request(QuotePath);
-    quote.prompt = { .tokens = 3000, .answerTokens = 200, .likelyTokens = 100, .parts = { { .id = 9, .tokens = 3000 } } };
-    const auto send = find<Send>(world.apply(quote));
+    auto quote = harness.request(QuotePath);
+    quote.prompt = { .tokens = 3000, .maxAnswerTokens = 200, .expectedAnswerTokens = 100, .parts = { { .id = 9, .tokens = 3000 } } };
+    const auto send = find<Send>(harness.apply(quote));
     ASSERT_TRUE(send);
-    world.apply(AttemptStarted{ .attempt = send->attempt, .goesToCaller = true });
+    harness.apply(AttemptStarted{ .attempt = send->attempt, .isForwarded = true });
     for (auto i = 0; i < Events; ++i) {
-        world.pass(interval);
-        world.apply(AttemptProgress{ .attempt = send->attempt });
+        harness.advance(interval);
+        harness.apply(AttemptProgress{ .attempt = send->attempt });
     }
-    world.apply(AttemptFinished{ .attempt = send->attempt });
+    harness.apply(AttemptFinished{ .attempt = send->attempt });
 }
 
 } // namespace
@@ -93,9 +93,9 @@
 TEST(StrainTests, fewerRequestsAreReleasedWhenAnswersAreSlow)
 {
     constexpr auto Requests = 60;
-    World fast;
+    RouterHarness fast;
     relayAnswer(fast, std::chrono::milliseconds(20));
-    World slow;
+    RouterHarness slow;
     relayAnswer(slow, std::chrono::milliseconds(100));
     const auto sentWhenFast = countSent(fast, Requests);
     const auto sentWhenSlow = countSent(slow, Requests);
--- a/src/core/passthrough/tests/world.h
+++ b/src/core/passthrough/tests/world.h
@@ -1,5 +1,5 @@
 /// \file
-/// A pass-through router in virtual time, with one engine service, one plain service and a route for each kind of request.
+/// Test harness: a pass-through router in virtual time, with one engine service, one plain service and a route for each kind of request.
 
 #pragma once
 
@@ -16,10 +16,10 @@
 namespace auburnspread::passthrough::tests
 {
 
-constexpr auto QuotePath = "/quote/1";   ///< a stream that runs once, to one server
-constexpr auto CheckPath = "/check/1";   ///< a stream that may be resumed, on two servers
-constexpr auto NoticePath = "/notice/1"; ///< at most once
-constexpr auto FetchPath = "/fetch/1";   ///< idempotent, on two servers
+constexpr auto QuotePath = "/quote/1";   ///< a stream that can't be resumed, one attempt
+constexpr auto CheckPath = "/check/1";   ///< a resumable stream, two attempts
+constexpr auto NoticePath = "/notice/1"; ///< an at-most-once request
+constexpr auto FetchPath = "/fetch/1";   ///< an idempotent request, two attempts
 
 inline auto makeRoute(const std::string &prefix, Repeatability repeatability, std::uint32_t attempts) -> Route
 {
@@ -62,10 +62,10 @@
     };
 }
 
-class World
+class RouterHarness
 {
 public:
-    explicit World(RouterOptions options = { .entry = "entry-1", .failureDomain = "a" })
+    explicit RouterHarness(RouterOptions options = { .entry = "entry-1", .failureDomain = "a" })
         : router_(makeRouter(std::move(options)))
     {
         apply(ConfigurationAdopted{ makeConfiguration() });
@@ -81,8 +81,8 @@
     {
         apply(ConfigurationConfirmed{ .asOf = now_ });
     }
-    /// Time passes in small steps; the configuration is confirmed all the while.
-    auto pass(Duration duration) -> Actions
+    /// Advances the time in small steps with a tick at each of them, and keeps the configuration confirmed.
+    auto advance(Duration duration) -> Actions
     {
         Actions all;
         constexpr Duration Step = std::chrono::milliseconds(20);
@@ -94,8 +94,8 @@
         }
         return all;
     }
-    /// Time passes and nothing is heard.
-    auto passSilently(Duration duration) -> void
+    /// Advances the time without any event.
+    auto advanceSilently(Duration duration) -> void
     {
         now_ += duration;
     }
@@ -109,7 +109,7 @@
         RequestArrived arrived{ .request = RequestId{ ++lastRequest_ }, .host = "quotes.example", .path = path };
         arrived.key = std::move(key);
         arrived.fingerprint = Fingerprint{ lastRequest_ };
-        arrived.prompt = { .tokens = 500, .answerTokens = 50, .parts = { { .id = 1, .tokens = 100 }, { .id = 1000 + lastRequest_, .tokens = 400 } } };
+        arrived.prompt = { .tokens = 500, .maxAnswerTokens = 50, .parts = { { .id = 1, .tokens = 100 }, { .id = 1000 + lastRequest_, .tokens = 400 } } };
         return arrived;
     }
 
@@ -128,7 +128,7 @@
     std::uint64_t lastRequest_ = 0;
 };
 
-/// The first action of this type.
+/// \return the first action of this type, or nothing
 template <typename Wanted>
 auto find(const Actions &actions) -> std::optional<Wanted>
 {
--- a/src/gateway/accounting.cpp
+++ b/src/gateway/accounting.cpp
@@ -134,7 +134,7 @@
             { "answer_ms", toMilliseconds(total) } });
 }
 
-auto Accounting::responseAborted(const RequestLogContext &context, const passthrough::Break &action) -> void
+auto Accounting::responseAborted(const RequestLogContext &context, const passthrough::AbortAnswer &action) -> void
 {
     abortedResponses_.add();
     event(Level::Warning, "answer-broken-off", { { "request", context.request }, { "reason", reasonInfo(action.reason).name }, { "peer", action.peer } });
@@ -204,12 +204,12 @@
     event(Level::Warning, "cache-not-listed", { { "peer", server }, { "detail", detail } });
 }
 
-auto Accounting::crashCounted(const passthrough::TellCrashes &crashes) -> void
+auto Accounting::crashCounted(const passthrough::ReportCrashes &crashes) -> void
 {
     event(Level::Warning, "crash-counted", { { "fingerprint", static_cast<std::uint64_t>(crashes.fingerprint) }, { "crashes", crashes.crashes } });
 }
 
-auto Accounting::serverLimitChanged(const passthrough::LimitChanged &change) -> void
+auto Accounting::serverLimitChanged(const passthrough::RateLimitChanged &change) -> void
 {
     event(Level::Info,
           "server-limit-changed",
--- a/src/gateway/accounting.h
+++ b/src/gateway/accounting.h
@@ -39,7 +39,7 @@
     auto requestRefused(const RequestLogContext &context, const passthrough::Refuse &refusal) -> void;
     auto badRequestRefused(std::string_view step, std::string_view detail) -> void;
     auto responseDelivered(const RequestLogContext &context, std::string_view server, int status, Duration firstByte, Duration total) -> void;
-    auto responseAborted(const RequestLogContext &context, const passthrough::Break &action) -> void;
+    auto responseAborted(const RequestLogContext &context, const passthrough::AbortAnswer &action) -> void;
     auto callerGone(const RequestLogContext &context, Duration elapsed) -> void;
     /// @}
 
@@ -57,9 +57,9 @@
     auto inputInvalid(std::string_view source, std::string_view detail) -> void;
     auto cacheListed(const passthrough::CacheListed &listed) -> void;
     auto cacheNotListed(std::string_view server, std::string_view detail) -> void;
-    auto crashCounted(const passthrough::TellCrashes &crashes) -> void;
+    auto crashCounted(const passthrough::ReportCrashes &crashes) -> void;
     /// The rate limit of a backend server changed.
-    auto serverLimitChanged(const passthrough::LimitChanged &change) -> void;
+    auto serverLimitChanged(const passthrough::RateLimitChanged &change) -> void;
     auto readinessChanged(bool ready, std::string_view reason) -> void;
     /// @}
 
--- a/src/gateway/directorystate.cpp
+++ b/src/gateway/directorystate.cpp
@@ -230,7 +230,7 @@
         if (!answer.serverChanges) {
             answer.servers = getPackedServers(state);
         }
-        const auto isRecent = state.outageEndedAt && now - *state.outageEndedAt < passthrough::ReturnTime;
+        const auto isRecent = state.outageEndedAt && now - *state.outageEndedAt < passthrough::ReregistrationTime;
         answer.outageAge = isRecent ? std::optional(now - *state.outageEndedAt) : std::nullopt;
     }
     if (state.entriesAt) {
--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -93,7 +93,7 @@
 
 auto Fleet::start() -> void
 {
-    callbacks_.onEvent(passthrough::EntriesCounted{ .isGuess = true });
+    callbacks_.onEvent(passthrough::EntriesCounted{ .isProvisional = true });
     directory_.readStale();
     const auto jitter = XXH64(self_.name.data(), self_.name.size(), 0) % static_cast<std::uint64_t>(ConfirmationJitter.count());
     startupConfirmationTimer_ = loop_.after(ConfirmationDelay + Duration(static_cast<Duration::rep>(jitter)), [this]() {
@@ -132,7 +132,7 @@
     reports_.recordDispatch();
 }
 
-auto Fleet::sendCrashReport(const passthrough::CrashesHeard &crashes) -> void
+auto Fleet::sendCrashReport(const passthrough::CrashesReported &crashes) -> void
 {
     peers_.send(crashes);
 }
@@ -535,7 +535,7 @@
     } else if (const auto *usage = std::get_if<usage::Report>(&message)) {
         duties_.hear(*usage);
     } else {
-        callbacks_.onEvent(std::get<passthrough::CrashesHeard>(message));
+        callbacks_.onEvent(std::get<passthrough::CrashesReported>(message));
     }
 }
 
--- a/src/gateway/fleet.h
+++ b/src/gateway/fleet.h
@@ -54,7 +54,7 @@
 
     /// Records that a request was sent to a backend server, which the next load report includes soon.
     auto recordDispatch() -> void;
-    auto sendCrashReport(const passthrough::CrashesHeard &crashes) -> void;
+    auto sendCrashReport(const passthrough::CrashesReported &crashes) -> void;
     /// Records that a request of the workspace started to run on a backend server.
     auto recordStart(const std::string &workspace, TimePoint at) -> void;
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -77,7 +77,7 @@
         .failureDomain = settings.failureDomain,
         .retries = { .ratio = settings.retryRatio, .allowance = settings.retryAllowance, .window = settings.retryWindow },
         .keyFreshness = settings.keyWithdrawal - KeyFreshnessMargin,
-        .overduePatience = std::max(settings.configurationApply - AnnouncementDelay, settings.configurationApply / 2),
+        .outdatedTolerance = std::max(settings.configurationApply - AnnouncementDelay, settings.configurationApply / 2),
     };
 }
 
@@ -97,10 +97,10 @@
     auto execute(const passthrough::Cancel &action) -> void;
     auto execute(const passthrough::Deliver &action) -> void;
     auto execute(const passthrough::Refuse &action) -> void;
-    auto execute(const passthrough::Break &action) -> void;
+    auto execute(const passthrough::AbortAnswer &action) -> void;
     auto execute(const passthrough::Complete &action) -> void;
-    auto execute(const passthrough::TellCrashes &action) -> void;
-    auto execute(const passthrough::LimitChanged &change) -> void;
+    auto execute(const passthrough::ReportCrashes &action) -> void;
+    auto execute(const passthrough::RateLimitChanged &change) -> void;
 
     auto handleRequest(RequestId id, BufferedRequestPointer message) -> void;
     auto handleCallerGone(RequestId id) -> void;
@@ -110,7 +110,7 @@
     auto handleResponse(AttemptId attempt, BufferedResponse response) -> void;
     auto handleAttemptFailure(AttemptId attempt, const AttemptFailure &failure) -> void;
 
-    auto handleAttemptStarted(AttemptId attempt, bool goesToCaller) -> void;
+    auto handleAttemptStarted(AttemptId attempt, bool isForwarded) -> void;
     auto reportExecutionStart(OpenAttempt &attempt) -> void;
     auto checkTimeouts() -> void;
     auto checkReadiness() -> void;
@@ -150,17 +150,18 @@
                    .onCallerGone = [this](RequestId id) { handleCallerGone(id); },
                    .onBadRequest = [this](std::string_view step, std::string_view detail) { accounting.badRequestRefused(step, detail); },
                })
-    , upstream(loop,
-               {
-                   .onStarted = [this](AttemptId attempt, bool goesToCaller) { handleAttemptStarted(attempt, goesToCaller); },
-                   .onRateLimit = [this](AttemptId attempt,
-                                         std::optional<double> perSecond) { apply(passthrough::LimitStated{ .attempt = attempt, .perSecond = perSecond }); },
-                   .onStreamStarted = [this](AttemptId attempt, int status, const http::Headers &headers) { beginStream(attempt, status, headers); },
-                   .onEvents = [this](AttemptId attempt, std::string_view events) { relayEvents(attempt, events); },
-                   .onStreamEnded = [this](AttemptId attempt) { handleStreamEnd(attempt); },
-                   .onResponse = [this](AttemptId attempt, BufferedResponse response) { handleResponse(attempt, std::move(response)); },
-                   .onFailed = [this](AttemptId attempt, const AttemptFailure &failure) { handleAttemptFailure(attempt, failure); },
-               })
+    , upstream(
+          loop,
+          {
+              .onStarted = [this](AttemptId attempt, bool isForwarded) { handleAttemptStarted(attempt, isForwarded); },
+              .onRateLimit = [this](AttemptId attempt,
+                                    std::optional<double> perSecond) { apply(passthrough::RateLimitReported{ .attempt = attempt, .perSecond = perSecond }); },
+              .onStreamStarted = [this](AttemptId attempt, int status, const http::Headers &headers) { beginStream(attempt, status, headers); },
+              .onEvents = [this](AttemptId attempt, std::string_view events) { relayEvents(attempt, events); },
+              .onStreamEnded = [this](AttemptId attempt) { handleStreamEnd(attempt); },
+              .onResponse = [this](AttemptId attempt, BufferedResponse response) { handleResponse(attempt, std::move(response)); },
+              .onFailed = [this](AttemptId attempt, const AttemptFailure &failure) { handleAttemptFailure(attempt, failure); },
+          })
     , fleet(loop,
             settings,
             *router,
@@ -271,7 +272,7 @@
     frontend.respond(action.request, makeRefusalResponse(action));
 }
 
-auto Gateway::Impl::execute(const passthrough::Break &action) -> void
+auto Gateway::Impl::execute(const passthrough::AbortAnswer &action) -> void
 {
     const auto node = requests.extract(action.request);
     if (node) {
@@ -286,13 +287,13 @@
     completeRequest(action.request, OkStatus);
 }
 
-auto Gateway::Impl::execute(const passthrough::TellCrashes &action) -> void
+auto Gateway::Impl::execute(const passthrough::ReportCrashes &action) -> void
 {
     accounting.crashCounted(action);
     fleet.sendCrashReport({ .fingerprint = action.fingerprint, .crashes = action.crashes });
 }
 
-auto Gateway::Impl::execute(const passthrough::LimitChanged &change) -> void
+auto Gateway::Impl::execute(const passthrough::RateLimitChanged &change) -> void
 {
     accounting.serverLimitChanged(change);
 }
@@ -316,7 +317,7 @@
     apply(passthrough::CallerGone{ .request = id });
 }
 
-auto Gateway::Impl::handleAttemptStarted(AttemptId attempt, bool goesToCaller) -> void
+auto Gateway::Impl::handleAttemptStarted(AttemptId attempt, bool isForwarded) -> void
 {
     const auto found = attempts.find(attempt);
     if (found != attempts.end()) {
@@ -326,7 +327,7 @@
     if (request != requests.end() && !request->second.firstByteAt) {
         request->second.firstByteAt = now();
     }
-    apply(passthrough::AttemptStarted{ .attempt = attempt, .goesToCaller = goesToCaller });
+    apply(passthrough::AttemptStarted{ .attempt = attempt, .isForwarded = isForwarded });
 }
 
 /// Reports the start of an execution to the fleet: a stream starts with its first event, any other call about when it is sent.
@@ -412,7 +413,7 @@
 
 auto Gateway::Impl::checkReadiness() -> void
 {
-    const auto isFresh = passthrough::isFresh(*router, now());
+    const auto isFresh = passthrough::isConfigurationFresh(*router, now());
     const auto ready = isFresh && fleet.hasServerList() && !drainState;
     if (ready) {
         fleet.announce();
@@ -428,17 +429,17 @@
     if (drainState) {
         return "leaving";
     }
-    if (passthrough::isOverdue(*router, now())) {
+    if (passthrough::isConfigurationOverdue(*router, now())) {
         return "a newer configuration is overdue";
     }
-    return passthrough::isFresh(*router, now()) ? "no backend servers known" : "configuration not confirmed";
+    return passthrough::isConfigurationFresh(*router, now()) ? "no backend servers known" : "configuration not confirmed";
 }
 
 /// An entry that can't confirm its configuration names only other entries to callers, if it knows any.
 auto Gateway::Impl::addressesForCallers() const -> std::vector<std::string>
 {
     auto addresses = fleet.otherAddresses();
-    const auto isUsable = passthrough::isFresh(*router, now()) && fleet.hasServerList();
+    const auto isUsable = passthrough::isConfigurationFresh(*router, now()) && fleet.hasServerList();
     if (!drainState && (isUsable || addresses.empty())) {
         addresses.push_back(settings.callerAddress);
     }
@@ -448,7 +449,7 @@
 auto Gateway::Impl::applySettings(const GatewaySettings &changed) -> bool
 {
     settings = withReloadableSettings(std::move(settings), changed);
-    passthrough::changeBounds(*router, routerOptionsOf(settings));
+    passthrough::updateOptions(*router, routerOptionsOf(settings));
     checkReadiness();
     return settings == changed;
 }
--- a/src/gateway/loadreports.cpp
+++ b/src/gateway/loadreports.cpp
@@ -45,7 +45,7 @@
 auto LoadReports::recordDispatch() -> void
 {
     if (!std::exchange(isEarlyReportScheduled_, true)) {
-        const auto due = lastReportAt_ + passthrough::LeastReportInterval - now();
+        const auto due = lastReportAt_ + passthrough::MinReportInterval - now();
         earlyReportTimer_ = loop_.after(std::max(due, BatchWindow), [this]() { sendReport(); });
     }
 }
@@ -118,9 +118,9 @@
     sumTurn_ = (sumTurn_ + 1) % reportsPerSum();
     if (isFirstHub_) {
         const auto others = fleet::hubsOfOtherDomains(known_.entries, self_, static_cast<std::size_t>(sumTurn_ % ReportsPerSum));
-        peers_.sendTo(peerAddresses(others, self_), passthrough::takeSum(router_, passthrough::ReportScope::FailureDomain));
+        peers_.sendTo(peerAddresses(others, self_), passthrough::takeAggregateReport(router_, passthrough::ReportScope::FailureDomain));
     }
-    peers_.sendTo(nextSumRecipients(), passthrough::takeSum(router_, passthrough::ReportScope::Fleet));
+    peers_.sendTo(nextSumRecipients(), passthrough::takeAggregateReport(router_, passthrough::ReportScope::Fleet));
 }
 
 auto LoadReports::reportsPerSum() const -> int
--- a/src/gateway/peerexchange.cpp
+++ b/src/gateway/peerexchange.cpp
@@ -41,7 +41,7 @@
     std::size_t parts = MaxParts;
 };
 
-auto reserveUse(RemainingSpace &space, const passthrough::PeerReported::Use &use) -> void
+auto reserveUse(RemainingSpace &space, const passthrough::PeerReported::ServerUsage &use) -> void
 {
     space.bytes -= std::min(space.bytes, UseBytes + (use.limit ? LimitBytes : 0));
 }
@@ -85,7 +85,7 @@
 }
 
 /// Appends the limit fields to the use of a server that has a limit, or recently had one.
-auto appendLimit(json &use, const passthrough::PeerReported::Use &from) -> void
+auto appendLimit(json &use, const passthrough::PeerReported::ServerUsage &from) -> void
 {
     constexpr double AnyRate = -1;
     if (!from.limit && from.sentLately == 0) {
@@ -98,7 +98,7 @@
     }
 }
 
-auto readLimit(const json &from, passthrough::PeerReported::Use &use) -> void
+auto readLimit(const json &from, passthrough::PeerReported::ServerUsage &use) -> void
 {
     constexpr std::size_t SentLately = 8;
     constexpr std::size_t Rate = 9;
@@ -133,10 +133,10 @@
     return { { "entry", report.entry },          { "arrivals", std::move(arrivals) },
              { "domain", report.failureDomain }, { "scope", static_cast<int>(report.scope) },
              { "entries", report.entries },      { "relayed", report.isRelayed },
-             { "rest", report.isRest },          { "uses", std::move(uses) } };
+             { "rest", report.isContinuation },  { "uses", std::move(uses) } };
 }
 
-auto toJson(const passthrough::CrashesHeard &heard) -> json
+auto toJson(const passthrough::CrashesReported &heard) -> json
 {
     return { { "fingerprint", static_cast<std::uint64_t>(heard.fingerprint) }, { "crashes", heard.crashes } };
 }
@@ -188,7 +188,7 @@
         return toHeartbeat(document);
     }
     if (document.contains("fingerprint")) {
-        return passthrough::CrashesHeard{
+        return passthrough::CrashesReported{
             .fingerprint = Fingerprint{ document.at("fingerprint").get<std::uint64_t>() },
             .crashes = document.at("crashes").get<std::uint32_t>(),
         };
@@ -198,7 +198,7 @@
                                       .scope = toScope(document.at("scope")),
                                       .entries = document.at("entries").get<std::uint32_t>(),
                                       .isRelayed = document.at("relayed").get<bool>(),
-                                      .isRest = document.at("rest").get<bool>() };
+                                      .isContinuation = document.at("rest").get<bool>() };
     for (const auto &each : document.at("arrivals")) {
         report.arrivals.push_back({ .service = each.at(0).get<std::string>(), .perSecond = each.at(1).get<double>() });
     }
@@ -227,7 +227,7 @@
         .scope = report.scope,
         .entries = report.entries,
         .isRelayed = report.isRelayed,
-        .isRest = true,
+        .isContinuation = true,
     };
 }
 
--- a/src/gateway/peerexchange.h
+++ b/src/gateway/peerexchange.h
@@ -19,7 +19,7 @@
 namespace auburnspread::gateway
 {
 
-using PeerMessage = std::variant<passthrough::PeerReported, passthrough::CrashesHeard, fleet::Heartbeat, usage::Report>;
+using PeerMessage = std::variant<passthrough::PeerReported, passthrough::CrashesReported, fleet::Heartbeat, usage::Report>;
 
 /// Splits a load report: the first message holds as many prompt parts as fit into a datagram, further messages hold the rest.
 auto splitIntoDatagrams(const PeerMessage &message) -> std::vector<PeerMessage>;
--- a/src/gateway/tests/coldstart_tests.cpp
+++ b/src/gateway/tests/coldstart_tests.cpp
@@ -57,7 +57,7 @@
 
     [[nodiscard]] auto isReady() const -> bool
     {
-        return passthrough::isFresh(*router, now()) && fleet.hasServerList();
+        return passthrough::isConfigurationFresh(*router, now()) && fleet.hasServerList();
     }
 
     auto announceOnceReady() -> void
--- a/src/gateway/tests/duties_tests.cpp
+++ b/src/gateway/tests/duties_tests.cpp
@@ -152,7 +152,7 @@
                         });
     platform.duties.setServersAvailable(false);
     orders.beginTerm();
-    orders.update({ .service = "engines", .scaling = { .most = 6, .preemptiblePrice = 0.2, .prices = { { "a", 1.0 } } } }, 17);
+    orders.update({ .service = "engines", .scaling = { .maxServers = 6, .preemptiblePrice = 0.2, .prices = { { "a", 1.0 } } } }, 17);
     EXPECT_TRUE(runUntil(platform.loop, [&outcome]() { return outcome == "declined"; }));
     EXPECT_FALSE(refused);
     EXPECT_TRUE(platform.duties.orders().empty());
--- a/src/gateway/tests/messages_tests.cpp
+++ b/src/gateway/tests/messages_tests.cpp
@@ -21,8 +21,8 @@
     EXPECT_EQ(read.uses[0].heldTokens, 20'000U);
     EXPECT_EQ(read.uses[0].shortPrompts, 2U);
 
-    const passthrough::CrashesHeard crashes{ .fingerprint = Fingerprint{ 77 }, .crashes = 2 };
-    EXPECT_EQ(std::get<passthrough::CrashesHeard>(decodePeerMessage(encodePeerMessage(crashes))).fingerprint, crashes.fingerprint);
+    const passthrough::CrashesReported crashes{ .fingerprint = Fingerprint{ 77 }, .crashes = 2 };
+    EXPECT_EQ(std::get<passthrough::CrashesReported>(decodePeerMessage(encodePeerMessage(crashes))).fingerprint, crashes.fingerprint);
 }
 
 TEST(PeerMessageTests, limitsAreDecodedAsEncoded)
@@ -71,7 +71,7 @@
 {
     passthrough::PeerReported report{ .entry = "entry-1" };
     for (auto engine = 0; engine < 4; ++engine) {
-        auto &use = report.uses.emplace_back(passthrough::PeerReported::Use{ .server = "i-" + std::to_string(engine), .inFlight = 1 });
+        auto &use = report.uses.emplace_back(passthrough::PeerReported::ServerUsage{ .server = "i-" + std::to_string(engine), .inFlight = 1 });
         for (std::uint64_t part = 0; part < 200; ++part) {
             use.sent.push_back({ .id = 1000 * static_cast<std::uint64_t>(engine) + part, .tokens = 3000 });
         }
@@ -81,9 +81,9 @@
     std::size_t parts = 0;
     for (const auto &message : messages) {
         const auto read = std::get<passthrough::PeerReported>(decodePeerMessage(encodePeerMessage(message)));
-        EXPECT_EQ(read.isRest, &message != &messages.front());
+        EXPECT_EQ(read.isContinuation, &message != &messages.front());
         for (const auto &use : read.uses) {
-            EXPECT_EQ(use.inFlight, read.isRest ? 0U : 1U);
+            EXPECT_EQ(use.inFlight, read.isContinuation ? 0U : 1U);
             parts += use.sent.size();
         }
     }
--- a/src/gateway/tests/overdueconfiguration_tests.cpp
+++ b/src/gateway/tests/overdueconfiguration_tests.cpp
@@ -87,7 +87,7 @@
             store.put(std::string("auburnspread/entries/") + name, adapter::encodeEntry(record));
         }
         fleet.start();
-        const auto isFollowing = [this]() { return passthrough::isFresh(*router, now()) && fleet.otherAddresses().size() == 3; };
+        const auto isFollowing = [this]() { return passthrough::isConfigurationFresh(*router, now()) && fleet.otherAddresses().size() == 3; };
         EXPECT_TRUE(runUntil(loop, isFollowing));
         store.setSilent(true);
     }
--- a/src/gateway/upstream.h
+++ b/src/gateway/upstream.h
@@ -26,8 +26,8 @@
 };
 
 struct UpstreamCallbacks {
-    /// The response head was received or, for a relayed stream, its first event. \p goesToCaller: the response is a relayed stream.
-    std::function<void(AttemptId attempt, bool goesToCaller)> onStarted;
+    /// The response head was received or, for a relayed stream, its first event. \p isForwarded: the response is a relayed stream.
+    std::function<void(AttemptId attempt, bool isForwarded)> onStarted;
     /// The response head states the rate limit of the server in requests per second, summed over all entries; not set: no limit.
     std::function<void(AttemptId attempt, std::optional<double> perSecond)> onRateLimit;
     std::function<void(AttemptId attempt, int status, const http::Headers &headers)> onStreamStarted; ///< called right before the first onEvents
