--- a/src/core/admission/distribution.cpp
+++ b/src/core/admission/distribution.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr float FadeAt = 256;
-constexpr float LeastObservations = 16;
+constexpr float DecayThreshold = 256;
+constexpr float MinObservations = 16;
 
 auto bucketOf(double value) -> std::size_t
 {
@@ -49,7 +49,7 @@
 {
     distribution.counts.at(bucketOf(value)) += 1;
     distribution.total += 1;
-    if (distribution.total < FadeAt) {
+    if (distribution.total < DecayThreshold) {
         return;
     }
     for (auto &count : distribution.counts) {
@@ -60,12 +60,12 @@
 
 auto quantile(const Distribution &distribution, double part) -> std::optional<double>
 {
-    return distribution.total < LeastObservations ? std::nullopt : quantileFrom(distribution, part, 0);
+    return distribution.total < MinObservations ? std::nullopt : quantileFrom(distribution, part, 0);
 }
 
 auto quantileAbove(const Distribution &distribution, double part, double floor) -> std::optional<double>
 {
-    return distribution.total < LeastObservations ? std::nullopt : quantileFrom(distribution, part, bucketOf(floor));
+    return distribution.total < MinObservations ? std::nullopt : quantileFrom(distribution, part, bucketOf(floor));
 }
 
 } // namespace auburnspread::admission
--- a/src/core/admission/forecast.cpp
+++ b/src/core/admission/forecast.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-constexpr double GoodCase = 0.25;
-constexpr double BadCase = 0.95;
-constexpr double Typical = 0.5;
+constexpr double GoodCaseQuantile = 0.25;
+constexpr double BadCaseQuantile = 0.95;
+constexpr double TypicalQuantile = 0.5;
 constexpr std::uint32_t UnknownAnswerTokens = 200;
-constexpr double PaceWeight = 0.1;      ///< of a new interval in the moving average
-constexpr double MostSpareWeight = 0.1; ///< of one dispatch, however long ago the one before it was
-constexpr double LeastSpare = 0.01;
+constexpr double PaceWeight = 0.1;     ///< weight of a new interval in the moving average
+constexpr double MaxSpareWeight = 0.1; ///< weight of one dispatch, however long ago the previous one was
+constexpr double MinSpareShare = 0.01;
 
 auto toDuration(double microseconds) -> Duration
 {
@@ -26,22 +26,24 @@
     return static_cast<double>(duration.count());
 }
 
-/// How the last forecasts compare with what came: requests that went ahead later, or gave up, are not foreseen.
+/// The ratio of actual to forecast waiting times of recent requests. It corrects for what a forecast cannot include:
+/// requests that arrive later but are served first, and requests that leave the queue early.
 auto waitCorrection(const Estimates &estimates) -> double
 {
     constexpr double Percent = 100;
-    constexpr double Least = 0.25;
-    constexpr double Most = 4;
-    return std::clamp(quantile(estimates.waitRatio, GoodCase).value_or(Percent) / Percent, Least, Most);
+    constexpr double MinCorrection = 0.25;
+    constexpr double MaxCorrection = 4;
+    return std::clamp(quantile(estimates.waitRatio, GoodCaseQuantile).value_or(Percent) / Percent, MinCorrection, MaxCorrection);
 }
 
-/// Waiting time until \p requests more left the queue.
+/// Time until \p requests further requests have left the queue, in microseconds.
 auto timeToLeave(const Estimates &estimates, double requests, TimePoint now) -> double
 {
     if (estimates.pace.interval == Duration::zero()) {
         return 0;
     }
-    // A queue that has not moved for longer than usual is stuck: its past pace says nothing about now.
+    // If no request has left the queue for longer than the average interval, the queue is stalled and its past rate no
+    // longer applies.
     const auto interval = std::max(estimates.pace.interval, now - estimates.pace.since);
     return toDouble(interval) * requests;
 }
@@ -55,12 +57,12 @@
 
 } // namespace
 
-auto noteQueueBegun(Estimates &estimates, TimePoint now) -> void
+auto recordQueueStart(Estimates &estimates, TimePoint now) -> void
 {
     estimates.pace.since = now;
 }
 
-auto noteLeftQueue(Estimates &estimates, Duration waited, Duration forecast, TimePoint now) -> void
+auto recordDequeue(Estimates &estimates, Duration waited, Duration forecast, TimePoint now) -> void
 {
     auto &pace = estimates.pace;
     const auto interval = now - pace.since;
@@ -72,20 +74,20 @@
     }
 }
 
-auto noteSpare(Estimates &estimates, bool isSpare, Duration horizon, TimePoint now) -> void
+auto recordSpareShare(Estimates &estimates, bool isSpare, Duration horizon, TimePoint now) -> void
 {
     auto &spare = estimates.spare;
-    const auto passed = std::clamp(toDouble(now - spare.since) / std::max(toDouble(horizon), 1.0), 0.0, MostSpareWeight);
+    const auto passed = std::clamp(toDouble(now - spare.since) / std::max(toDouble(horizon), 1.0), 0.0, MaxSpareWeight);
     spare.share += ((isSpare ? 1 : 0) - spare.share) * passed;
     spare.since = now;
 }
 
-auto noteFirstToken(Estimates &estimates, Duration sinceDispatch) -> void
+auto recordFirstToken(Estimates &estimates, Duration sinceDispatch) -> void
 {
     observe(estimates.firstToken, toDouble(sinceDispatch));
 }
 
-auto noteAnswer(Estimates &estimates, std::uint32_t tokens, Duration streaming) -> void
+auto recordAnswer(Estimates &estimates, std::uint32_t tokens, Duration streaming) -> void
 {
     observe(estimates.tokens, tokens);
     if (tokens > 1) {
@@ -100,46 +102,46 @@
 
 auto forecastLateWait(const Estimates &estimates, std::uint32_t ahead, TimePoint now) -> Duration
 {
-    return toDuration(timeToLeave(estimates, ahead, now) / std::max(estimates.spare.share, LeastSpare));
+    return toDuration(timeToLeave(estimates, ahead, now) / std::max(estimates.spare.share, MinSpareShare));
 }
 
 auto typicalAnswer(const Estimates &estimates) -> Duration
 {
-    return answerTime(estimates, Typical);
+    return answerTime(estimates, TypicalQuantile);
 }
 
 auto quickFirstToken(const Estimates &estimates) -> Duration
 {
-    return toDuration(quantile(estimates.firstToken, GoodCase).value_or(0));
+    return toDuration(quantile(estimates.firstToken, GoodCaseQuantile).value_or(0));
 }
 
 auto slowFirstToken(const Estimates &estimates) -> std::optional<Duration>
 {
-    const auto slow = quantile(estimates.firstToken, BadCase);
+    const auto slow = quantile(estimates.firstToken, BadCaseQuantile);
     return slow ? std::optional(toDuration(*slow)) : std::nullopt;
 }
 
 auto expectedTokens(const Estimates &estimates, std::uint32_t maximum) -> std::uint32_t
 {
-    const auto typical = quantile(estimates.tokens, Typical).value_or(UnknownAnswerTokens);
+    const auto typical = quantile(estimates.tokens, TypicalQuantile).value_or(UnknownAnswerTokens);
     const auto tokens = static_cast<std::uint32_t>(typical);
     return maximum == 0 ? tokens : std::min(tokens, maximum);
 }
 
 auto expectedRest(const Estimates &estimates, std::uint32_t relayed) -> Duration
 {
-    const auto length = quantileAbove(estimates.tokens, Typical, relayed);
-    const auto pace = quantile(estimates.tokenPace, Typical);
+    const auto length = quantileAbove(estimates.tokens, TypicalQuantile, relayed);
+    const auto pace = quantile(estimates.tokenPace, TypicalQuantile);
     if (!length || !pace) {
         return Duration::zero();
     }
     return toDuration(std::max(0.0, *length - relayed) * *pace);
 }
 
-auto missedBy(const Estimates &estimates, Duration wait, const Targets &targets) -> std::optional<Duration>
+auto targetOverrun(const Estimates &estimates, Duration wait, const Targets &targets) -> std::optional<Duration>
 {
     const auto firstToken = wait + quickFirstToken(estimates);
-    const auto answer = wait + answerTime(estimates, GoodCase);
+    const auto answer = wait + answerTime(estimates, GoodCaseQuantile);
     const auto missed = std::max(firstToken - targets.firstToken, answer - targets.answer);
     return missed > Duration::zero() ? std::optional(missed) : std::nullopt;
 }
--- a/src/core/admission/forecast.h
+++ b/src/core/admission/forecast.h
@@ -1,10 +1,11 @@
 /// \file
-/// What a request of one class on one route may expect, learnt from those before it, and whether it can still meet its
-/// targets. Lengths are not known in advance; all that is known is how they were distributed.
+/// Forecasts the waiting and response times of a request of one class on one route from earlier requests, and whether
+/// the request can still meet its targets. The length of an answer is not known in advance; only the distribution of
+/// earlier lengths is.
 ///
-/// The forecast is used to refuse, so it errs on the side of taking in: a request is refused only if it would be late
-/// even with a quick first token and a short answer. What is taken in too much gives way to what can still be on time
-/// (see queueing) and costs nobody a slot.
+/// Admission refuses requests by this forecast, so the forecast is optimistic: a request is refused only if it would be
+/// late even with a quick first token and a short answer. Requests admitted in excess yield to those that can still be
+/// on time (see queueing) and take no slot from them.
 
 #pragma once
 
@@ -17,70 +18,71 @@
 namespace auburnspread::admission
 {
 
-/// How often the queue of one class on one route moves on.
+/// The rate at which requests leave the queue of one class on one route.
 struct QueuePace {
-    Duration interval{}; ///< moving average between two requests that leave the queue; 0: not known
-    TimePoint since;     ///< when it last moved on, or when it began to wait
+    Duration interval{}; ///< moving average of the time between two departures; 0: not known
+    TimePoint since;     ///< time of the last departure, or when the queue became non-empty
 };
 
-/// The part of the dispatches of one class on one route that late requests may count on: those for which nothing waited
-/// that could still be on time.
+/// The share of the dispatches of one class on one route that is left for late requests: those at which no request was
+/// waiting that could still be on time.
 struct SpareShare {
     double share = 1; ///< moving average
-    TimePoint since;  ///< of the last dispatch
+    TimePoint since;  ///< time of the last dispatch
 };
 
 struct Estimates {
     QueuePace pace;
-    Distribution waitRatio;  ///< waiting time in percent of what was forecast
-    Distribution firstToken; ///< from dispatch, microseconds
-    Distribution tokens;     ///< of whole answers
-    Distribution tokenPace;  ///< microseconds a token after the first
+    Distribution waitRatio;  ///< actual waiting time in percent of the forecast
+    Distribution firstToken; ///< time from dispatch to the first token, microseconds
+    Distribution tokens;     ///< length of complete answers
+    Distribution tokenPace;  ///< microseconds per token after the first
     SpareShare spare;
 };
 
 /// \name Learning
 /// @{
 
-/// A request begins to wait where none did.
-auto noteQueueBegun(Estimates &estimates, TimePoint now) -> void;
+/// Records that a request was added to an empty queue.
+auto recordQueueStart(Estimates &estimates, TimePoint now) -> void;
 
-/// A request left the queue for a backend server; \p forecast is what was expected of its waiting.
-auto noteLeftQueue(Estimates &estimates, Duration waited, Duration forecast, TimePoint now) -> void;
+/// Records that a request left the queue for a backend server; \p forecast is its forecast waiting time.
+auto recordDequeue(Estimates &estimates, Duration waited, Duration forecast, TimePoint now) -> void;
 
-/// A request was dispatched. \p isSpare: it was late itself and not on its floor, or found a free slot when it came.
-/// \p horizon: the answer target of the class. An overload shorter than that is no evidence that a late request can't be
-/// answered in time.
-auto noteSpare(Estimates &estimates, bool isSpare, Duration horizon, TimePoint now) -> void;
+/// Records a dispatch. \p isSpare: the request was late and not served by the starvation floor of its class, or found a
+/// free slot on arrival. \p horizon: the answer target of the class. An overload shorter than the target is no evidence
+/// that a late request cannot be answered in time.
+auto recordSpareShare(Estimates &estimates, bool isSpare, Duration horizon, TimePoint now) -> void;
 
-auto noteFirstToken(Estimates &estimates, Duration sinceDispatch) -> void;
+auto recordFirstToken(Estimates &estimates, Duration sinceDispatch) -> void;
 
-/// \p streaming: from the first token to the last.
-auto noteAnswer(Estimates &estimates, std::uint32_t tokens, Duration streaming) -> void;
+/// Records a complete answer. \p streaming: time from the first token to the last.
+auto recordAnswer(Estimates &estimates, std::uint32_t tokens, Duration streaming) -> void;
 /// @}
 
 /// \name Forecast
 /// @{
 
-/// Waiting time of a request with \p ahead requests of its class before it.
+/// Forecast waiting time of a request with \p ahead requests of its class before it.
 auto forecastWait(const Estimates &estimates, std::uint32_t ahead, TimePoint now) -> Duration;
 
-/// The same of a late request, which goes behind those that can still be on time; \p ahead counts both.
+/// Forecast waiting time of a late request, which is served after those that can still be on time; \p ahead counts both
+/// kinds.
 auto forecastLateWait(const Estimates &estimates, std::uint32_t ahead, TimePoint now) -> Duration;
 
-/// Time from dispatch to the end of an ordinary answer; 0: not known.
+/// Median time from dispatch to the end of the answer; 0: not known.
 auto typicalAnswer(const Estimates &estimates) -> Duration;
 
-/// Time to the first token from dispatch in a good case; 0: not known.
+/// Time from dispatch to the first token in a good case (lower quartile); 0: not known.
 auto quickFirstToken(const Estimates &estimates) -> Duration;
 
-/// Time to the first token from dispatch that all but few keep to; nothing: not known.
+/// Time from dispatch to the first token that 95% of requests stay within; nothing: not known.
 auto slowFirstToken(const Estimates &estimates) -> std::optional<Duration>;
 
-/// Tokens to charge a request with before its length is known. \p maximum: the caller's own bound; 0: none.
+/// Tokens to charge for a request before its length is known. \p maximum: the limit set by the caller; 0: none.
 auto expectedTokens(const Estimates &estimates, std::uint32_t maximum) -> std::uint32_t;
 
-/// Time that the rest of an answer of which \p relayed tokens are out will take; 0: not known.
+/// Remaining time of an answer of which \p relayed tokens were forwarded; 0: not known.
 auto expectedRest(const Estimates &estimates, std::uint32_t relayed) -> Duration;
 
 struct Targets {
@@ -88,8 +90,8 @@
     Duration answer{};
 };
 
-/// By how much a request that will wait \p wait misses its targets even in a good case; nothing: it can meet them.
-auto missedBy(const Estimates &estimates, Duration wait, const Targets &targets) -> std::optional<Duration>;
+/// The time by which a request that waits for \p wait misses its targets even in a good case; nothing if it can meet them.
+auto targetOverrun(const Estimates &estimates, Duration wait, const Targets &targets) -> std::optional<Duration>;
 /// @}
 
 } // namespace auburnspread::admission
--- a/src/core/admission/tests/forecast_tests.cpp
+++ b/src/core/admission/tests/forecast_tests.cpp
@@ -12,7 +12,7 @@
 using namespace auburnspread::admission;
 using namespace std::chrono_literals;
 
-RC_GTEST_PROP(DistributionTests, quantilesStayWithinABucketOfTheRealOnes, ())
+RC_GTEST_PROP(DistributionTests, quantilesAreWithinOneBucketOfTheExactOnes, ())
 {
     auto values = *rc::gen::container<std::vector<int>>(100, rc::gen::inRange(1, 1000000));
     Distribution distribution;
@@ -22,11 +22,11 @@
     std::sort(values.begin(), values.end());
     const auto ratio = *quantile(distribution, 0.5) / values.at(49);
     RC_ASSERT(ratio > std::exp2(-0.25) - 0.01);
-    // The real median lies anywhere between two neighbours; the next one bounds it from above.
+    // The exact median lies between two neighbouring values; the larger one is the upper bound.
     RC_ASSERT(*quantile(distribution, 0.5) <= values.at(50) * std::exp2(0.25) + 1);
 }
 
-TEST(DistributionTests, aChangeShowsWithinSomeHundredObservations)
+TEST(DistributionTests, aChangeIsReflectedWithinAFewHundredObservations)
 {
     Distribution distribution;
     for (int i = 0; i < 10000; ++i) {
@@ -38,38 +38,38 @@
     EXPECT_GT(*quantile(distribution, 0.5), 800);
 }
 
-// The queue moves on ten times a second, then stops because every backend server went silent. A caller that comes
-// when it has stood still for two seconds is told at once that its target is out of reach; the pace of the past
-// would have let it in to wait in vain.
-TEST(ForecastTests, aQueueThatStandsStillIsNotForecastByItsPast)
+// Ten requests per second leave the queue, then none because all backend servers stop responding. A request that
+// arrives two seconds later must be refused at once; a forecast from the past rate would admit it although it cannot
+// meet its target.
+TEST(ForecastTests, theForecastOfAStalledQueueIgnoresItsPastRate)
 {
     Estimates estimates;
     TimePoint now{};
-    noteQueueBegun(estimates, now);
+    recordQueueStart(estimates, now);
     for (int i = 0; i < 100; ++i) {
         now += 100ms;
-        noteLeftQueue(estimates, 500ms, 500ms, now);
-        noteFirstToken(estimates, 50ms);
-        noteAnswer(estimates, 101, 1s);
+        recordDequeue(estimates, 500ms, 500ms, now);
+        recordFirstToken(estimates, 50ms);
+        recordAnswer(estimates, 101, 1s);
     }
     const Targets targets{ .firstToken = 600ms, .answer = 5s };
-    EXPECT_FALSE(missedBy(estimates, forecastWait(estimates, 5, now), targets));
-    EXPECT_TRUE(missedBy(estimates, forecastWait(estimates, 7, now), targets));
-    EXPECT_TRUE(missedBy(estimates, forecastWait(estimates, 1, now + 2s), targets));
+    EXPECT_FALSE(targetOverrun(estimates, forecastWait(estimates, 5, now), targets));
+    EXPECT_TRUE(targetOverrun(estimates, forecastWait(estimates, 7, now), targets));
+    EXPECT_TRUE(targetOverrun(estimates, forecastWait(estimates, 1, now + 2s), targets));
 }
 
-// Requests that can be on time take every slot. For a while that may be a burst, and a late request is let in as if it
-// soon ended; once it has lasted longer than the answer target, those that would wait in vain are told so at once.
-TEST(ForecastTests, aLongOverloadLeavesLateRequestsNoHope)
+// Requests that can be on time take every slot. A short burst may cause that, so late requests are still admitted; once
+// the overload has lasted longer than the answer target, late requests must be refused at once.
+TEST(ForecastTests, aLongOverloadRaisesTheForecastOfLateRequests)
 {
     Estimates estimates;
     TimePoint now{};
-    noteQueueBegun(estimates, now);
+    recordQueueStart(estimates, now);
     const auto passTime = [&](Duration time) {
         for (const auto end = now + time; now < end;) {
             now += 100ms;
-            noteSpare(estimates, false, 20s, now);
-            noteLeftQueue(estimates, 500ms, 500ms, now);
+            recordSpareShare(estimates, false, 20s, now);
+            recordDequeue(estimates, 500ms, 500ms, now);
         }
     };
     passTime(3s);
@@ -78,12 +78,12 @@
     EXPECT_GT(forecastLateWait(estimates, 100, now), 60s);
 }
 
-TEST(ForecastTests, theRestOfALongAnswerIsThatOfAnswersAtLeastAsLong)
+TEST(ForecastTests, theRemainderOfALongAnswerIsEstimatedFromAnswersAtLeastAsLong)
 {
     Estimates estimates;
     for (int i = 0; i < 50; ++i) {
-        noteAnswer(estimates, 20, 190ms);
-        noteAnswer(estimates, 1000, 9990ms);
+        recordAnswer(estimates, 20, 190ms);
+        recordAnswer(estimates, 1000, 9990ms);
     }
     EXPECT_LT(expectedRest(estimates, 0), 1s);
     EXPECT_GT(expectedRest(estimates, 100), 7s);
--- a/src/core/relay/relaystream.h
+++ b/src/core/relay/relaystream.h
@@ -1,5 +1,5 @@
 /// \file
-/// Decides, chunk by chunk, what of an attempt's answer may reach the caller.
+/// Decides for each chunk of an attempt's streaming response whether it may be forwarded to the caller.
 
 #pragma once
 
@@ -10,28 +10,28 @@
 namespace auburnspread::relay
 {
 
-/// What one attempt has delivered so far.
+/// Progress of the streaming response of one attempt.
 struct RelayStream {
-    std::string attemptId;        ///< as the backend server must echo it
-    std::uint32_t nextOffset = 0; ///< token offset at which the next chunk must stand
+    std::string attemptId;        ///< id that the backend server must repeat in each chunk
+    std::uint32_t nextOffset = 0; ///< token offset that the next chunk must have
     std::uint32_t discardedTokens = 0;
 };
 
 enum class Verdict {
-    Relay,
-    Discard, ///< not the caller's: another attempt's chunk, or one that was relayed before
-    Gap,     ///< tokens are missing: the attempt has failed and must be resumed
+    Relay,   ///< forward to the caller
+    Discard, ///< ignore: a chunk of another attempt, or one that was forwarded before
+    Gap,     ///< tokens are missing: the attempt has failed and the response must be resumed
 };
 
-/// Judges the chunk of token \p offset that carries \p id. Relay advances the stream by one token.
+/// Checks the chunk with token offset \p offset and attempt id \p id. Verdict::Relay advances the stream by one token.
 ///
-/// Failure: a backend server, or something on the way, delivers a chunk of another stream, or one late, twice
-/// or not at all. Symptom: a caller reads another's quote, or a quote with a hole. A chunk is relayed only if it
-/// names this attempt and stands exactly where the last one ended, so whatever is relayed is a prefix of the
-/// right answer.
+/// A backend server or an intermediary may deliver a chunk of another stream, or a chunk late, twice or not at all.
+/// The caller would then read text of another caller's answer, or an answer with missing tokens. A chunk is forwarded
+/// only if it carries the id of this attempt and continues exactly at the end of the previous one, so the forwarded
+/// text is always a prefix of the correct answer.
 auto acceptChunk(RelayStream &stream, std::string_view id, std::uint32_t offset) -> Verdict;
 
-/// Judges the end of the answer: right only if it stands where the last token ended.
+/// Checks the end of the response: it is valid only if \p tokenCount equals the number of tokens forwarded so far.
 auto acceptEnd(RelayStream &stream, std::string_view id, std::uint32_t tokenCount) -> Verdict;
 
 } // namespace auburnspread::relay
--- a/src/core/relay/tests/relaystream_tests.cpp
+++ b/src/core/relay/tests/relaystream_tests.cpp
@@ -11,9 +11,8 @@
 
 using namespace auburnspread;
 
-// The caller sees a prefix of its own answer and nothing else.
-// Chunks of this attempt and of another come in any order, twice or not at all.
-// Only those of this attempt that continue exactly may pass.
+// The caller must only ever receive a prefix of its own answer. Chunks of this attempt and of another one arrive in
+// any order, twice or not at all; only chunks of this attempt that continue the stream exactly may be forwarded.
 RC_GTEST_PROP(RelayStreamTests, whatIsRelayedIsAlwaysAPrefix, (const std::vector<std::pair<bool, std::uint8_t>> &chunks))
 {
     relay::RelayStream stream{ .attemptId = "mine" };
@@ -28,7 +27,8 @@
     RC_ASSERT(stream.nextOffset == expected);
 }
 
-// The caller would take a cut answer for a whole one: the backend server ends before the tokens it counts.
+// The backend server ends its response before the last token that it counts. Without the check, the caller would take
+// a truncated answer for a complete one.
 TEST(RelayStreamTests, anEndBeforeTheLastTokenIsAGap)
 {
     relay::RelayStream stream{ .attemptId = "mine" };
--- a/src/core/retry/budget.cpp
+++ b/src/core/retry/budget.cpp
@@ -10,30 +10,30 @@
 
 using Seconds = std::chrono::duration<double>;
 
-constexpr double Most = 20; ///< what is paid in and not used does not pile up into a storm
-constexpr double Least = -20;
-constexpr double QuietClassPerSecond = 0.2;
-constexpr double Initial = 10; ///< a backend server may crash right after the start, with several requests in flight
+constexpr double MaxLevel = 20; ///< bounds the burst of retries after a long time without failures
+constexpr double MinLevel = -20;
+constexpr double IdleClassRetriesPerSecond = 0.2;
+constexpr double InitialLevel = 10; ///< a backend server may crash right after the start, with several requests in flight
 
 auto refill(Budget &budget, TimePoint now) -> void
 {
     if (!budget.filled) {
-        budget = { .level = Initial, .at = now, .filled = true };
+        budget = { .level = InitialLevel, .at = now, .filled = true };
     }
-    // The minimum fills up to one retry only: it is for quiet classes, not a second budget for busy ones.
+    // The time-based refill stops at one retry: it serves classes with few requests and is no second budget for busy ones.
     const auto age = Seconds(now - budget.at).count();
     if (budget.level < 1) {
-        budget.level = std::min(1.0, budget.level + age * QuietClassPerSecond);
+        budget.level = std::min(1.0, budget.level + age * IdleClassRetriesPerSecond);
     }
     budget.at = now;
 }
 
 } // namespace
 
-auto payIn(Budget &budget, std::uint32_t percent, TimePoint now) -> void
+auto addRetryCredit(Budget &budget, std::uint32_t percent, TimePoint now) -> void
 {
     refill(budget, now);
-    budget.level = std::min(Most, budget.level + percent / 100.0);
+    budget.level = std::min(MaxLevel, budget.level + percent / 100.0);
 }
 
 auto takeRetry(Budget &budget, TimePoint now) -> bool
@@ -49,7 +49,7 @@
 auto chargeRepeat(Budget &budget, TimePoint now) -> void
 {
     refill(budget, now);
-    budget.level = std::max(Least, budget.level - 1);
+    budget.level = std::max(MinLevel, budget.level - 1);
 }
 
 } // namespace auburnspread::retry
--- a/src/core/retry/budget.h
+++ b/src/core/retry/budget.h
@@ -1,9 +1,9 @@
 /// \file
-/// How many retries one class may make. Without a bound, failing backend servers are sent each request several times
-/// just when they can bear least: the symptom is a fleet that stays down after its cause is gone. Retries that are a
-/// fixed part of fresh traffic cannot multiply it, whatever fails.
+/// The retry budget of one class. Without a bound, failing backend servers receive each request several times while
+/// they are overloaded, and the fleet stays down after the original fault is gone. Retries limited to a fixed share of
+/// new requests cannot multiply the load, whatever fails.
 ///
-/// Each entry keeps the part for its own fresh traffic, so the parts of a cell sum to the same part of the cell's.
+/// Each entry applies the share to its own new requests, so retries in the whole cell stay within the same share.
 
 #pragma once
 
@@ -15,18 +15,20 @@
 {
 
 struct Budget {
-    double level = 0;
-    TimePoint at;
-    bool filled = false;
+    double level = 0;    ///< retries available; negative after repeats by callers
+    TimePoint at;        ///< time of the last refill
+    bool filled = false; ///< whether the initial level was set
 };
 
-/// A fresh request pays in \p percent of a retry.
-auto payIn(Budget &budget, std::uint32_t percent, TimePoint now) -> void;
+/// Adds \p percent of a retry for a new request.
+auto addRetryCredit(Budget &budget, std::uint32_t percent, TimePoint now) -> void;
 
-/// Takes one retry, if there is one. A class that is too quiet to have paid one in gets one every few seconds.
+/// Consumes one retry if the budget allows it, and returns whether it did. A class with too few requests to earn a retry
+/// gets one every few seconds.
 auto takeRetry(Budget &budget, TimePoint now) -> bool;
 
-/// The caller repeats a request itself: that loads the backend servers as a retry does, so it is taken like one, allowed or not.
+/// Charges a request that the caller itself repeats. It loads the backend servers as a retry does, so it is charged even
+/// if the budget is empty.
 auto chargeRepeat(Budget &budget, TimePoint now) -> void;
 
 } // namespace auburnspread::retry
--- a/src/core/retry/decision.cpp
+++ b/src/core/retry/decision.cpp
@@ -6,22 +6,23 @@
 namespace
 {
 
-/// A request that fails everywhere is its own fault more likely than that of three backend servers.
-constexpr std::uint32_t MostRetries = 2;
+/// If a request fails on three backend servers, the request is more likely the cause than the servers.
+constexpr std::uint32_t MaxRetries = 2;
 
-/// A second run of a request that may not be repeated bills a deposit twice or sends a second van. Only a proof that the first did
-/// not begin rules that out; a timeout or a broken connection proves nothing.
-auto isSafe(const Failed &failed) -> bool
+/// A second run of a request that may not be repeated could repeat its effects, such as charge a deposit twice or
+/// dispatch a second van. Only proof that the first run did not start rules that out; a timeout or a broken connection
+/// proves nothing.
+auto isSafe(const FailedRequest &failed) -> bool
 {
     return failed.repeatable || provesNotStarted(failed.failure);
 }
 
 } // namespace
 
-auto whyNoRetry(const Failed &failed, TimePoint now) -> std::optional<Reason>
+auto findRetryObstacle(const FailedRequest &failed, TimePoint now) -> std::optional<Reason>
 {
     const auto lost = failed.answerBegun ? Reason::StreamBroken : Reason::BackendFailed;
-    if (!isSafe(failed) || failed.retriesMade >= MostRetries) {
+    if (!isSafe(failed) || failed.retriesMade >= MaxRetries) {
         return lost;
     }
     if (failed.answerBegun && !failed.resumable) {
--- a/src/core/retry/decision.h
+++ b/src/core/retry/decision.h
@@ -1,6 +1,5 @@
 /// \file
-/// Whether a request whose attempt failed may be tried again. The conditions under which a retry is safe stand
-/// here and nowhere else.
+/// Whether a request may be retried after a failed attempt. This is the only place that defines when a retry is safe.
 
 #pragma once
 
@@ -14,18 +13,19 @@
 namespace auburnspread::retry
 {
 
-/// What is known when an attempt has failed and no other one is under way.
-struct Failed {
+/// State of a request whose attempt has failed and that has no other attempt in flight.
+struct FailedRequest {
     Failure failure{};
-    bool repeatable = false;
-    bool resumable = false;   ///< whether an answer of this kind has offsets at which it can be continued
-    bool answerBegun = false; ///< the caller has received a part of this answer
+    bool repeatable = false;  ///< the request may run more than once
+    bool resumable = false;   ///< the response has offsets at which another attempt can continue it
+    bool answerBegun = false; ///< the caller has received a part of the response
     std::uint32_t retriesMade = 0;
     TimePoint deadline;
 };
 
-/// Why no further attempt may be made, or nothing. A further attempt goes on where the relayed part of the answer ends.
-/// The budget is not asked here: it is only charged for a retry that is otherwise allowed.
-auto whyNoRetry(const Failed &failed, TimePoint now) -> std::optional<Reason>;
+/// Returns the reason why the request may not be retried, or nothing if it may. A retry continues at the end of the part
+/// of the response that was forwarded. The retry budget is not checked here: it is charged only for retries that are
+/// otherwise allowed.
+auto findRetryObstacle(const FailedRequest &failed, TimePoint now) -> std::optional<Reason>;
 
 } // namespace auburnspread::retry
--- a/src/core/retry/repeats.h
+++ b/src/core/retry/repeats.h
@@ -1,5 +1,5 @@
 /// \file
-/// Recognises a request that its caller sends again after the first try was given up.
+/// Recognises requests that a caller sends again after the entry gave up on the first one.
 
 #pragma once
 
@@ -15,26 +15,26 @@
 {
 
 struct RepeatsOptions {
-    Duration memory = std::chrono::seconds(30); ///< later, an equal request counts as a new one
+    Duration memory = std::chrono::seconds(30); ///< after this time, an equal request counts as new
     std::size_t capacity = 10000;
 };
 
-/// Requests given up lately, by workspace and fingerprint. Equal requests that were answered are none of them: callers
-/// of one workspace may well ask the same thing twice.
+/// Recently given up requests, by workspace and fingerprint. Answered requests are not recorded, because callers of one
+/// workspace may legitimately send equal requests.
 struct Repeats {
     RepeatsOptions options;
     std::unordered_map<std::uint64_t, TimePoint> givenUp;
-    struct Remembered {
+    struct GivenUpRequest {
         std::uint64_t key = 0;
         TimePoint at;
     };
-    std::deque<Remembered> order; ///< oldest first
+    std::deque<GivenUpRequest> order; ///< oldest first
 };
 
-/// \p workspace: any number that stands for it.
-auto noteGivenUp(Repeats &repeats, std::uint32_t workspace, Fingerprint fingerprint, TimePoint now) -> void;
+/// Records that a request was given up. \p workspace is any number that identifies the workspace.
+auto recordGivenUp(Repeats &repeats, std::uint32_t workspace, Fingerprint fingerprint, TimePoint now) -> void;
 
-/// Whether an equal request of the workspace was given up lately; it is forgotten thereby.
+/// Returns whether an equal request of the workspace was given up recently, and removes that record.
 auto takeRepeat(Repeats &repeats, std::uint32_t workspace, Fingerprint fingerprint, TimePoint now) -> bool;
 
 } // namespace auburnspread::retry
--- a/src/core/retry/tests/retry_tests.cpp
+++ b/src/core/retry/tests/retry_tests.cpp
@@ -9,17 +9,17 @@
 using namespace auburnspread::retry;
 using namespace std::chrono_literals;
 
-RC_GTEST_PROP(RetryDecisionTests, aRequestThatMayHaveRunIsTriedAgainOnlyIfRepeatable, ())
+RC_GTEST_PROP(RetryDecisionTests, aRequestThatMayHaveRunIsRetriedOnlyIfRepeatable, ())
 {
     const auto place = *rc::gen::inRange<std::size_t>(0, failureTable().size());
-    const Failed failed{ .failure = failureTable()[place].value,
-                         .repeatable = *rc::gen::arbitrary<bool>(),
-                         .resumable = *rc::gen::arbitrary<bool>(),
-                         .answerBegun = *rc::gen::arbitrary<bool>(),
-                         .retriesMade = *rc::gen::inRange<std::uint32_t>(0, 4),
-                         .deadline = TimePoint(1s) };
+    const FailedRequest failed{ .failure = failureTable()[place].value,
+                                .repeatable = *rc::gen::arbitrary<bool>(),
+                                .resumable = *rc::gen::arbitrary<bool>(),
+                                .answerBegun = *rc::gen::arbitrary<bool>(),
+                                .retriesMade = *rc::gen::inRange<std::uint32_t>(0, 4),
+                                .deadline = TimePoint(1s) };
     const TimePoint now(Duration(*rc::gen::inRange(0, 2000000)));
-    if (whyNoRetry(failed, now)) {
+    if (findRetryObstacle(failed, now)) {
         return;
     }
     RC_ASSERT(failed.repeatable || provesNotStarted(failed.failure));
@@ -27,23 +27,23 @@
     RC_ASSERT(now < failed.deadline);
 }
 
-// Every backend server fails every request for a minute, in a class with a hundred fresh requests a second. Were each
-// tried again, the load would double or triple; the budget holds retries to its part of fresh traffic.
-TEST(RetryBudgetTests, retriesStayAPartOfFreshTraffic)
+// All backend servers fail every request for a minute, in a class with a hundred new requests per second. If each were
+// retried, the load would double or triple; the budget limits retries to its share of new requests.
+TEST(RetryBudgetTests, retriesStayWithinTheirShareOfNewRequests)
 {
     Budget budget;
     TimePoint now{};
     int retries = 0;
     for (int i = 0; i < 6000; ++i) {
         now += 10ms;
-        payIn(budget, 10, now);
+        addRetryCredit(budget, 10, now);
         retries += takeRetry(budget, now) ? 1 : 0;
     }
     EXPECT_GE(retries, 600);
     EXPECT_LE(retries, 600 + 60 / 5 + 10);
 }
 
-TEST(RetryBudgetTests, aQuietClassMayRetryAndItsCallersRepeatsCount)
+TEST(RetryBudgetTests, aClassWithFewRequestsMayRetryAndRepeatsByCallersAreCharged)
 {
     Budget budget;
     TimePoint now{};
@@ -55,15 +55,15 @@
     EXPECT_FALSE(takeRetry(budget, now));
 }
 
-TEST(RepeatsTests, anEqualRequestIsARepeatOnlyOnceAndOnlySoonAfterTheFirstWasGivenUp)
+TEST(RepeatsTests, anEqualRequestIsARepeatOnceAndOnlySoonAfterTheFirstWasGivenUp)
 {
     Repeats repeats;
     TimePoint now{};
     EXPECT_FALSE(takeRepeat(repeats, 1, Fingerprint{ 7 }, now));
-    noteGivenUp(repeats, 1, Fingerprint{ 7 }, now);
+    recordGivenUp(repeats, 1, Fingerprint{ 7 }, now);
     EXPECT_FALSE(takeRepeat(repeats, 2, Fingerprint{ 7 }, now));
     EXPECT_TRUE(takeRepeat(repeats, 1, Fingerprint{ 7 }, now + 1s));
     EXPECT_FALSE(takeRepeat(repeats, 1, Fingerprint{ 7 }, now + 1s));
-    noteGivenUp(repeats, 1, Fingerprint{ 7 }, now);
+    recordGivenUp(repeats, 1, Fingerprint{ 7 }, now);
     EXPECT_FALSE(takeRepeat(repeats, 1, Fingerprint{ 7 }, now + 31s));
 }
--- a/src/core/routing/internal/arriving.cpp
+++ b/src/core/routing/internal/arriving.cpp
@@ -22,7 +22,7 @@
     if (repeated) {
         retry::chargeRepeat(budget, state.now);
     } else {
-        retry::payIn(budget, state.adopted->document.limits.retryBudgetPercent, state.now);
+        retry::addRetryCredit(budget, state.adopted->document.limits.retryBudgetPercent, state.now);
     }
 }
 
@@ -53,11 +53,11 @@
     }
     const auto answer = request.deadline - request.arrived;
     const admission::Targets targets{ .firstToken = firstTokenBound(request), .answer = answer };
-    if (!admission::missedBy(estimatesOf(request), request.forecastWait, targets)) {
+    if (!admission::targetOverrun(estimatesOf(request), request.forecastWait, targets)) {
         return std::nullopt;
     }
     markLate(request);
-    const auto missed = admission::missedBy(estimatesOf(request), forecastLateWait(state, request), { .firstToken = answer, .answer = answer });
+    const auto missed = admission::targetOverrun(estimatesOf(request), forecastLateWait(state, request), { .firstToken = answer, .answer = answer });
     if (!missed) {
         return std::nullopt;
     }
--- a/src/core/routing/internal/attempts.cpp
+++ b/src/core/routing/internal/attempts.cpp
@@ -27,7 +27,7 @@
     return !request.attempts.empty() && !state.attempts.at(request.attempts.front()).sent;
 }
 
-auto describe(const Request &request, Failure failure, bool wasCommitted) -> retry::Failed
+auto describe(const Request &request, Failure failure, bool wasCommitted) -> retry::FailedRequest
 {
     const auto isChat = request.call.kind == CallKind::Chat;
     return {
@@ -58,7 +58,7 @@
         refuse(state, request, { .reason = Reason::Quarantined, .step = "quarantine", .peer = peer }, actions);
         return;
     }
-    if (const auto reason = retry::whyNoRetry(describe(request, failure, wasCommitted), state.now)) {
+    if (const auto reason = retry::findRetryObstacle(describe(request, failure, wasCommitted), state.now)) {
         refuse(state, request, { .reason = *reason, .step = "relay", .peer = peer }, actions);
         return;
     }
@@ -87,7 +87,7 @@
     attempt->committed = true;
     balancing::noteFirstToken(*state.balancing, event.attempt, state.now);
     if (attempt->resumeOffset == 0) {
-        admission::noteFirstToken(estimatesOf(request), state.now - attempt->sentAt);
+        admission::recordFirstToken(estimatesOf(request), state.now - attempt->sentAt);
     }
     request.firstTokenAt = request.firstTokenAt.value_or(state.now);
     actions.emplace_back(CommitAttempt{ .request = attempt->request, .attempt = attempt->id });
--- a/src/core/routing/internal/dispatching.cpp
+++ b/src/core/routing/internal/dispatching.cpp
@@ -147,9 +147,9 @@
     const auto &requestClass = *request.requestClass;
     const auto isSpare = !onFloor && (isLate(state, request) || state.now == request.queuedAt);
     state.floorCredit = onFloor ? 0 : std::min(state.floorCredit + 1, FloorPeriod);
-    admission::noteSpare(estimatesOf(request), isSpare, requestClass.definition.answerTarget, state.now);
+    admission::recordSpareShare(estimatesOf(request), isSpare, requestClass.definition.answerTarget, state.now);
     if (state.now > request.queuedAt) {
-        admission::noteLeftQueue(estimatesOf(request), state.now - request.queuedAt, request.forecastWait, state.now);
+        admission::recordDequeue(estimatesOf(request), state.now - request.queuedAt, request.forecastWait, state.now);
     }
 }
 
--- a/src/core/routing/internal/ending.cpp
+++ b/src/core/routing/internal/ending.cpp
@@ -79,7 +79,7 @@
 auto learnAnswer(RouterState &state, Request &request, const Attempt &attempt, std::uint32_t tokens) -> void
 {
     if (request.call.kind == CallKind::Chat && attempt.resumeOffset == 0 && request.firstTokenAt) {
-        admission::noteAnswer(estimatesOf(request), tokens, state.now - *request.firstTokenAt);
+        admission::recordAnswer(estimatesOf(request), tokens, state.now - *request.firstTokenAt);
     }
 }
 
@@ -112,7 +112,7 @@
     state.wastedTokens += request.relayed;
     request.requestClass->refused += 1;
     if (request.mayHaveRun && request.call.fingerprint != Fingerprint{}) {
-        retry::noteGivenUp(state.repeats, static_cast<std::uint32_t>(request.workspace->id), request.call.fingerprint, state.now);
+        retry::recordGivenUp(state.repeats, static_cast<std::uint32_t>(request.workspace->id), request.call.fingerprint, state.now);
     }
     auto final = makeRefuse(request.call.request, refusal, outcomeOf(request, refusal.reason));
     if (!mayInviteBack(request)) {
--- a/src/core/routing/internal/waiting.cpp
+++ b/src/core/routing/internal/waiting.cpp
@@ -22,7 +22,7 @@
     request.queuedAt = state.now;
     const auto classId = request.requestClass->id;
     if (queueing::waitingOf(state.queue, classId, request.route) == 0) {
-        admission::noteQueueBegun(estimatesOf(request), state.now);
+        admission::recordQueueStart(estimatesOf(request), state.now);
     }
     queueing::enqueue(state.queue,
                       { .request = request.call.request,
