--- a/src/core/quarantine/quarantine.cpp
+++ b/src/core/quarantine/quarantine.cpp
@@ -9,16 +9,17 @@
 namespace
 {
 
-/// Crashes after which a fingerprint is quarantined.
+/// Number of crashes after which a fingerprint is quarantined.
 constexpr std::size_t CrashesToQuarantine = 2;
 
-/// A crash ends all connections of a server within milliseconds of each other, and a server takes longer than this to
-/// start again: ends on one server within this time are one crash, later ones another.
+/// A crash closes all connections of a server within milliseconds of each other, and a server takes longer than this to
+/// restart. Failures on one server within this time therefore count as one crash, later ones as another.
 constexpr Duration SameCrashWindow = std::chrono::milliseconds(500);
 
-/// An entry that said it will retry must begin, or say so again, within this time: it is shorter than what peers allow.
-constexpr Duration IntentLifetime = std::chrono::seconds(2);
-constexpr Duration IntentRefresh = std::chrono::milliseconds(500);
+/// An entry that announced a retry must start it or repeat the announcement within this time, which must not exceed the
+/// time that peers allow (Options::peerIntentTime).
+constexpr Duration AnnouncementLifetime = std::chrono::seconds(2);
+constexpr Duration AnnouncementInterval = std::chrono::milliseconds(500);
 
 auto isExpired(const State &state, const Record &record, TimePoint now) -> bool
 {
@@ -34,9 +35,9 @@
     return &found->second;
 }
 
-auto intends(const Record &record, TimePoint now) -> bool
+auto hasAnnouncedRetry(const Record &record, TimePoint now) -> bool
 {
-    return record.intendsSince && now - record.intentToldAt < IntentLifetime;
+    return record.retryAnnouncedSince && now - record.retryAnnouncedAt < AnnouncementLifetime;
 }
 
 auto isRunning(const State &state, Fingerprint fingerprint) -> bool
@@ -44,16 +45,17 @@
     return state.running.contains(fingerprint);
 }
 
-/// The record to give up when the table is full: the oldest suspect, else the oldest quarantined one. A suspect cost
-/// one crash and can cost one more; a quarantined fingerprint would cost two again.
-auto findVictim(const State &state)
+/// The record to evict when the table is full: the oldest suspect, otherwise the oldest quarantined one. A forgotten
+/// suspect has caused one crash and can cause one more before it is suspect again; a forgotten quarantined fingerprint
+/// can cause two.
+auto findEvictionCandidate(const State &state)
 {
     return std::min_element(state.records.begin(), state.records.end(), [](const auto &left, const auto &right) {
         return std::pair(left.second.quarantined, left.second.since) < std::pair(right.second.quarantined, right.second.since);
     });
 }
 
-auto recordOf(State &state, Fingerprint fingerprint, TimePoint now) -> Record &
+auto findOrCreateRecord(State &state, Fingerprint fingerprint, TimePoint now) -> Record &
 {
     const auto found = state.records.find(fingerprint);
     if (found != state.records.end()) {
@@ -64,7 +66,7 @@
         return found->second;
     }
     if (!state.records.empty() && state.records.size() >= state.options.capacity) {
-        state.records.erase(findVictim(state));
+        state.records.erase(findEvictionCandidate(state));
     }
     auto &record = state.records[fingerprint];
     record.since = now;
@@ -128,18 +130,19 @@
     return std::move(node.mapped());
 }
 
-/// The crash that ended the attempt: the one seen last on its server, if the attempt was under way then, else a new one.
+/// The crash that ended the attempt: the last one seen on its server if the attempt was in flight then, otherwise a new
+/// one.
 auto incidentOf(State &state, const Attempt &attempt, TimePoint now) -> Incident
 {
     auto &crash = state.lastCrash[attempt.server];
-    const bool wasUnderWay = attempt.sequence < crash.sequence && now - crash.at <= SameCrashWindow;
-    if (!wasUnderWay) {
+    const bool wasInFlight = attempt.sequence < crash.sequence && now - crash.at <= SameCrashWindow;
+    if (!wasInFlight) {
         crash = { .at = now, .sequence = state.nextSequence++ };
     }
     return { .server = attempt.server, .at = crash.at, .sequence = crash.sequence };
 }
 
-auto tellRetrying(const State &state, Fingerprint fingerprint) -> std::vector<Notice>
+auto makeRetryingNotice(const State &state, Fingerprint fingerprint) -> std::vector<Notice>
 {
     const auto running = state.running.find(fingerprint);
     if (running == state.running.end()) {
@@ -148,32 +151,33 @@
     return { makeNotice(state, fingerprint, Mark::Retrying, running->second.server) };
 }
 
-auto hearSuspect(State &state, const Notice &notice, TimePoint now) -> void
+auto applySuspect(State &state, const Notice &notice, TimePoint now) -> void
 {
     unmarkProven(state, notice.fingerprint);
-    addCrash(recordOf(state, notice.fingerprint, now), { .server = notice.server, .at = now });
+    addCrash(findOrCreateRecord(state, notice.fingerprint, now), { .server = notice.server, .at = now });
 }
 
-/// Two entries may want to retry the same suspect at the same moment. Without an order between them both would, and a
-/// killer would crash a third server. Each says so first and waits until the other's word must have arrived; then the
-/// entry with the lower name goes on and the other one waits. A retry that runs already goes before both.
-auto hearRetrying(State &state, const Notice &notice, TimePoint now) -> std::vector<Notice>
+/// Two entries may want to retry the same suspect at the same time. Without an order between them both would retry, and
+/// a request that crashes servers would crash a third one. Each entry therefore announces its retry first and waits until
+/// the announcement of the other must have arrived; then the entry with the lower name retries and the other one waits. A
+/// retry that is already running takes precedence over both.
+auto applyRetrying(State &state, const Notice &notice, TimePoint now) -> std::vector<Notice>
 {
     const bool runs = !notice.server.empty();
-    auto &record = recordOf(state, notice.fingerprint, now);
-    if (!runs && intends(record, now) && state.options.entry < notice.entry) {
+    auto &record = findOrCreateRecord(state, notice.fingerprint, now);
+    if (!runs && hasAnnouncedRetry(record, now) && state.options.entry < notice.entry) {
         return {};
     }
     if (!runs && isRunning(state, notice.fingerprint)) {
-        return tellRetrying(state, notice.fingerprint);
+        return makeRetryingNotice(state, notice.fingerprint);
     }
-    record.intendsSince.reset();
+    record.retryAnnouncedSince.reset();
     record.peerRetrying = notice.entry;
     record.peerRetryUntil = now + (runs ? state.options.peerRetryTime : state.options.peerIntentTime);
     return {};
 }
 
-auto hearRetryEnded(State &state, const Notice &notice) -> void
+auto applyRetryEnded(State &state, const Notice &notice) -> void
 {
     const auto found = state.records.find(notice.fingerprint);
     if (found != state.records.end() && found->second.peerRetrying == notice.entry) {
@@ -181,7 +185,7 @@
     }
 }
 
-auto hearCleared(State &state, Fingerprint fingerprint) -> void
+auto applyCleared(State &state, Fingerprint fingerprint) -> void
 {
     const auto found = state.records.find(fingerprint);
     if (found == state.records.end() || found->second.quarantined) {
@@ -191,21 +195,21 @@
     markProven(state, fingerprint);
 }
 
-auto hearQuarantined(State &state, Fingerprint fingerprint, TimePoint now) -> void
+auto applyQuarantined(State &state, Fingerprint fingerprint, TimePoint now) -> void
 {
     unmarkProven(state, fingerprint);
-    recordOf(state, fingerprint, now).quarantined = true;
+    findOrCreateRecord(state, fingerprint, now).quarantined = true;
 }
 
-auto peerRetries(const Record &record, TimePoint now) -> bool
+auto isRetriedByPeer(const Record &record, TimePoint now) -> bool
 {
     return !record.peerRetrying.empty() && now < record.peerRetryUntil;
 }
 
-/// A suspect that nobody retries and no copy of which runs.
+/// Whether the record is a suspect that no peer retries and of which no copy is running.
 auto mayBeRetried(const State &state, Fingerprint fingerprint, const Record &record, TimePoint now) -> bool
 {
-    return !record.quarantined && !peerRetries(record, now) && !isRunning(state, fingerprint);
+    return !record.quarantined && !isRetriedByPeer(record, now) && !isRunning(state, fingerprint);
 }
 
 auto decideUnsuspected(const State &state, Fingerprint fingerprint) -> Decision
@@ -229,7 +233,7 @@
     state.options.expiry = expiry;
     state.options.capacity = std::max<std::size_t>(capacity, 1);
     while (state.records.size() > state.options.capacity) {
-        state.records.erase(findVictim(state));
+        state.records.erase(findEvictionCandidate(state));
     }
 }
 
@@ -242,10 +246,10 @@
     if (record->quarantined) {
         return { .verdict = Verdict::Refuse };
     }
-    if (!mayBeRetried(state, fingerprint, *record, now) || !intends(*record, now)) {
+    if (!mayBeRetried(state, fingerprint, *record, now) || !hasAnnouncedRetry(*record, now)) {
         return { .verdict = Verdict::Wait };
     }
-    const bool settled = now - *record->intendsSince >= state.options.settleTime;
+    const bool settled = now - *record->retryAnnouncedSince >= state.options.settleTime;
     return { .verdict = settled ? Verdict::RunAlone : Verdict::Wait };
 }
 
@@ -258,16 +262,16 @@
     if (!mayBeRetried(state, fingerprint, record, now)) {
         return {};
     }
-    if (!intends(record, now)) {
-        record.intendsSince = now;
-    } else if (now - record.intentToldAt < IntentRefresh) {
+    if (!hasAnnouncedRetry(record, now)) {
+        record.retryAnnouncedSince = now;
+    } else if (now - record.retryAnnouncedAt < AnnouncementInterval) {
         return {};
     }
-    record.intentToldAt = now;
+    record.retryAnnouncedAt = now;
     return { makeNotice(state, fingerprint, Mark::Retrying) };
 }
 
-auto noteDispatched(State &state, AttemptId attempt, Fingerprint fingerprint, std::string_view server, TimePoint now) -> std::vector<Notice>
+auto recordDispatch(State &state, AttemptId attempt, Fingerprint fingerprint, std::string_view server, TimePoint now) -> std::vector<Notice>
 {
     state.attempts[attempt] = { .fingerprint = fingerprint, .server = std::string(server), .sequence = state.nextSequence++ };
     auto &running = state.running[fingerprint];
@@ -276,11 +280,11 @@
     if (findRecord(state, fingerprint, now) == nullptr) {
         return {};
     }
-    state.records.at(fingerprint).intendsSince.reset();
-    return tellRetrying(state, fingerprint);
+    state.records.at(fingerprint).retryAnnouncedSince.reset();
+    return makeRetryingNotice(state, fingerprint);
 }
 
-auto noteCompleted(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>
+auto recordCompletion(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>
 {
     const auto ended = takeAttempt(state, attempt);
     if (!ended) {
@@ -298,7 +302,7 @@
     return { makeNotice(state, ended->fingerprint, Mark::Cleared) };
 }
 
-auto noteEnded(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>
+auto recordInconclusiveEnd(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>
 {
     const auto ended = takeAttempt(state, attempt);
     if (!ended || isRunning(state, ended->fingerprint)) {
@@ -311,7 +315,7 @@
     return { makeNotice(state, ended->fingerprint, Mark::RetryEnded) };
 }
 
-auto noteCrashed(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>
+auto recordCrash(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>
 {
     const auto ended = takeAttempt(state, attempt);
     if (!ended) {
@@ -319,7 +323,7 @@
     }
     unmarkProven(state, ended->fingerprint);
     const Incident incident = incidentOf(state, *ended, now);
-    auto &record = recordOf(state, ended->fingerprint, now);
+    auto &record = findOrCreateRecord(state, ended->fingerprint, now);
     addCrash(record, incident);
     if (record.quarantined) {
         return { makeNotice(state, ended->fingerprint, Mark::Quarantined) };
@@ -331,22 +335,22 @@
     return notices;
 }
 
-auto hear(State &state, const Notice &notice, TimePoint now) -> std::vector<Notice>
+auto applyNotice(State &state, const Notice &notice, TimePoint now) -> std::vector<Notice>
 {
     switch (notice.mark) {
     case Mark::Suspect:
-        hearSuspect(state, notice, now);
+        applySuspect(state, notice, now);
         break;
     case Mark::Retrying:
-        return hearRetrying(state, notice, now);
+        return applyRetrying(state, notice, now);
     case Mark::RetryEnded:
-        hearRetryEnded(state, notice);
+        applyRetryEnded(state, notice);
         break;
     case Mark::Cleared:
-        hearCleared(state, notice.fingerprint);
+        applyCleared(state, notice.fingerprint);
         break;
     case Mark::Quarantined:
-        hearQuarantined(state, notice.fingerprint, now);
+        applyQuarantined(state, notice.fingerprint, now);
         break;
     case Mark::Released:
         state.records.erase(notice.fingerprint);
@@ -369,19 +373,19 @@
     return record != nullptr && record->quarantined;
 }
 
-auto list(const State &state, TimePoint now) -> std::vector<Listed>
+auto list(const State &state, TimePoint now) -> std::vector<ListedRecord>
 {
-    std::vector<Listed> listed;
+    std::vector<ListedRecord> listed;
     for (const auto &[fingerprint, record] : state.records) {
         if (isExpired(state, record, now)) {
             continue;
         }
-        auto &row = listed.emplace_back(Listed{ .fingerprint = fingerprint, .quarantined = record.quarantined, .since = record.since });
+        auto &row = listed.emplace_back(ListedRecord{ .fingerprint = fingerprint, .quarantined = record.quarantined, .since = record.since });
         for (const Incident &crash : record.crashes) {
             row.servers.push_back(crash.server);
         }
     }
-    std::sort(listed.begin(), listed.end(), [](const Listed &left, const Listed &right) { return left.fingerprint < right.fingerprint; });
+    std::sort(listed.begin(), listed.end(), [](const ListedRecord &left, const ListedRecord &right) { return left.fingerprint < right.fingerprint; });
     return listed;
 }
 
--- a/src/core/quarantine/quarantine.h
+++ b/src/core/quarantine/quarantine.h
@@ -1,5 +1,5 @@
 /// \file
-/// Requests that crash the backend servers that run them, known by their fingerprint.
+/// Quarantine of requests that crash the backend servers that run them, identified by their fingerprint.
 ///
 /// One crash makes every fingerprint that was running on the server a suspect. A suspect is retried alone, at most
 /// once, and only while no other copy of it runs. A second crash quarantines it; a complete answer clears it. Copies
@@ -28,69 +28,69 @@
     std::string entry; ///< this entry's name
     Duration expiry = std::chrono::hours(1);
     std::size_t capacity = 1000;                         ///< suspects and quarantined together
-    std::size_t provenCapacity = 4096;                   ///< fingerprints remembered as harmless
-    Duration settleTime = std::chrono::milliseconds(50); ///< from saying that we will retry to the retry: what peers saw and want arrives
-    Duration peerIntentTime = std::chrono::seconds(2);   ///< a peer that said it will retry has this long to begin or to say so again
-    Duration peerRetryTime = std::chrono::seconds(60);   ///< a peer's retry that says nothing more is taken as over
+    std::size_t provenCapacity = 4096;                   ///< fingerprints remembered as proven harmless
+    Duration settleTime = std::chrono::milliseconds(50); ///< delay between announcing a retry and making it, in which crash and retry notices of peers arrive
+    Duration peerIntentTime = std::chrono::seconds(2);   ///< a peer that announced a retry must start it or repeat the announcement within this time
+    Duration peerRetryTime = std::chrono::seconds(60);   ///< a peer's retry without a further notice counts as ended after this time
 };
 
 enum class Verdict {
     Run,         ///< without restriction
-    RunOnServer, ///< only on the named server, where an unproven copy runs already; if it has no slot, wait
+    RunOnServer, ///< only on the named server, where an unproven copy already runs; if it has no free slot, wait
     RunAlone,    ///< the one retry of a suspect: choose with quietOnly
     Wait,        ///< ask again at the next tick or event
     Refuse,      ///< quarantined
 };
 
-/// What a cell is told about a fingerprint.
+/// State of a fingerprint that an entry announces to the cell.
 enum class Mark {
-    Suspect,     ///< it ran on \c server when that crashed
-    Retrying,    ///< its one retry runs now on \c server; without a server: \c entry is about to make it
-    RetryEnded,  ///< its retry ended and proved nothing: another entry may make it
-    Cleared,     ///< it completed: no longer suspect
-    Quarantined, ///< present at two crashes
-    Released,    ///< by an operator
+    Suspect,     ///< the request was running on \c server when the server crashed
+    Retrying,    ///< the only retry is running on \c server; without a server: \c entry is about to make it
+    RetryEnded,  ///< the retry ended without a result: another entry may make it
+    Cleared,     ///< the request completed and is no longer suspect
+    Quarantined, ///< the request was running at two crashes
+    Released,    ///< an operator released the fingerprint
 };
 
 struct Notice {
     Fingerprint fingerprint{};
     Mark mark = Mark::Quarantined;
-    std::string entry;  ///< who says so
-    std::string server; ///< of Suspect and Retrying
+    std::string entry;  ///< the entry that sent the notice
+    std::string server; ///< the backend server; only for Suspect and Retrying
 };
 
 struct Decision {
     Verdict verdict = Verdict::Run;
-    std::string server; ///< of RunOnServer
+    std::string server; ///< the backend server; only for RunOnServer
 };
 
-/// \name State. Fields are the module's own; read them by list() and decide().
+/// \name State. The fields are private to the module; use list() and decide() to read them.
 /// @{
 struct Incident {
     std::string server;
     TimePoint at{};
-    std::uint64_t sequence = 0; ///< of a crash seen here; 0: heard from a peer
+    std::uint64_t sequence = 0; ///< sequence number of a crash seen by this entry; 0: reported by a peer
 };
 
 struct Record {
     bool quarantined = false;
-    std::vector<Incident> crashes;         ///< distinct crashes at which the fingerprint was present
-    TimePoint since{};                     ///< last change, for expiry and eviction
-    std::optional<TimePoint> intendsSince; ///< this entry said that it will retry
-    TimePoint intentToldAt{};
-    std::string peerRetrying; ///< the entry whose retry is under way; empty: none
-    TimePoint peerRetryUntil{};
+    std::vector<Incident> crashes;                ///< distinct crashes at which the request was running
+    TimePoint since{};                            ///< last change, for expiry and eviction
+    std::optional<TimePoint> retryAnnouncedSince; ///< when this entry first announced that it will retry
+    TimePoint retryAnnouncedAt{};                 ///< when this entry last announced that it will retry
+    std::string peerRetrying;                     ///< the entry whose retry is announced or running; empty: none
+    TimePoint peerRetryUntil{};                   ///< when the retry of the peer counts as ended
 };
 
 struct Attempt {
     Fingerprint fingerprint{};
     std::string server;
-    std::uint64_t sequence = 0; ///< of the dispatch
+    std::uint64_t sequence = 0; ///< sequence number of the dispatch
 };
 
 struct Running {
-    std::string server; ///< of the latest attempt
-    std::size_t attempts = 0;
+    std::string server;       ///< backend server of the latest attempt
+    std::size_t attempts = 0; ///< attempts in flight
 };
 
 struct Crash {
@@ -100,11 +100,11 @@
 
 struct State {
     Options options;
-    std::uint64_t nextSequence = 1; ///< orders dispatches and crashes
+    std::uint64_t nextSequence = 1; ///< next sequence number; orders dispatches and crashes
     std::unordered_map<Fingerprint, Record> records;
     std::unordered_map<AttemptId, Attempt> attempts;
     std::unordered_map<Fingerprint, Running> running;
-    std::unordered_map<std::string, Crash> lastCrash; ///< by server
+    std::unordered_map<std::string, Crash> lastCrash; ///< last crash of each backend server
     std::unordered_set<Fingerprint> proven;
     std::deque<Fingerprint> provenOrder; ///< oldest first
 };
@@ -112,44 +112,45 @@
 
 auto makeState(Options options) -> State;
 
-/// Expiry and capacity may change with the configuration.
+/// Applies the expiry time and capacity of a new configuration.
 auto setLimits(State &state, Duration expiry, std::size_t capacity) -> void;
 
-/// Whether and how a request with this fingerprint may be dispatched now. Ask right before each dispatch.
+/// Decides whether and how a request with this fingerprint may be dispatched now. Call it right before each dispatch.
 auto decide(const State &state, Fingerprint fingerprint, TimePoint now) -> Decision;
 
-/// A request with this fingerprint is here to be run and waits. If it is a suspect that nobody else retries, this entry
-/// says that it will, and decide() answers RunAlone once peers had time to object. Call it whenever the verdict is
-/// Wait, again on each tick; it returns something only when peers must be told. The entry that saw the crash said so
-/// with the crash, so only a suspect's later copies and long waits need it.
+/// Announces the retry of a suspect for which a request waits at this entry. If no other entry retries the suspect, this
+/// entry claims the retry, and decide() returns RunAlone once peers have had time to object. Call it whenever the
+/// verdict is Wait, and again on each tick; it returns notices only when peers must be informed. The entry that saw the
+/// crash announces its retry together with the crash, so only later copies of a suspect and long waits need this call.
 auto announceRetry(State &state, Fingerprint fingerprint, TimePoint now) -> std::vector<Notice>;
 
-auto noteDispatched(State &state, AttemptId attempt, Fingerprint fingerprint, std::string_view server, TimePoint now) -> std::vector<Notice>;
-/// The answer is complete: the fingerprint is harmless.
-auto noteCompleted(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>;
-/// Cancelled, or failed in a way that does not look like a crash: proves nothing.
-auto noteEnded(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>;
-/// Failed in a way that looks like a crash of the backend server (looksLikeCrash).
-auto noteCrashed(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>;
+/// Records that an attempt was sent to \p server.
+auto recordDispatch(State &state, AttemptId attempt, Fingerprint fingerprint, std::string_view server, TimePoint now) -> std::vector<Notice>;
+/// Records that the response is complete, which proves the fingerprint harmless.
+auto recordCompletion(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>;
+/// Records that the attempt was cancelled, or failed in a way that does not look like a crash. This proves nothing.
+auto recordInconclusiveEnd(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>;
+/// Records that the attempt failed in a way that looks like a crash of the backend server (looksLikeCrash).
+auto recordCrash(State &state, AttemptId attempt, TimePoint now) -> std::vector<Notice>;
 
-/// A peer's notice, or an operator's. What is returned goes to all peers.
-auto hear(State &state, const Notice &notice, TimePoint now) -> std::vector<Notice>;
+/// Applies a notice from a peer or an operator. The returned notices must be sent to all peers.
+auto applyNotice(State &state, const Notice &notice, TimePoint now) -> std::vector<Notice>;
 
-/// An operator releases a fingerprint. Nothing: it was neither suspect nor quarantined here.
+/// Releases a fingerprint for an operator. Returns nothing if it was neither suspect nor quarantined at this entry.
 auto release(State &state, Fingerprint fingerprint) -> std::optional<Notice>;
 
 auto isQuarantined(const State &state, Fingerprint fingerprint, TimePoint now) -> bool;
 
-struct Listed {
+struct ListedRecord {
     Fingerprint fingerprint{};
-    bool quarantined = false; ///< else suspect
+    bool quarantined = false; ///< quarantined, otherwise suspect
     TimePoint since{};
-    std::vector<std::string> servers; ///< that crashed
+    std::vector<std::string> servers; ///< the backend servers that crashed
 };
-/// By fingerprint.
-auto list(const State &state, TimePoint now) -> std::vector<Listed>;
+/// All suspect and quarantined fingerprints, sorted by fingerprint.
+auto list(const State &state, TimePoint now) -> std::vector<ListedRecord>;
 
-/// Drops what expired. Call it now and then, such as once a second.
+/// Removes expired records. Call it periodically, such as once a second.
 auto expire(State &state, TimePoint now) -> void;
 
 } // namespace auburnspread::quarantine
--- a/src/core/quarantine/tests/cell_tests.cpp
+++ b/src/core/quarantine/tests/cell_tests.cpp
@@ -23,30 +23,30 @@
 constexpr TimePoint Start{ std::chrono::hours(1) };
 constexpr int ServerCount = 4;
 constexpr Duration RestartTime = std::chrono::seconds(1);
-constexpr int NoticeMs = 5; ///< to notice a crash, at most
-constexpr int PeerMs = 4;   ///< to tell a peer, at most
-constexpr int TellMs = NoticeMs + PeerMs + 1;
+constexpr int NoticeMs = 5; ///< longest time until an entry notices a crash
+constexpr int PeerMs = 4;   ///< longest time until a notice reaches a peer
+constexpr int PropagationMs = NoticeMs + PeerMs + 1;
 
-/// Evenly drawn, also in RapidCheck's first and small cases.
+/// Draws a uniformly distributed number, also in RapidCheck's first cases, which have a small size.
 template <typename Number>
 auto draw(Number from, Number to) -> Number
 {
     return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<Number>(from, to + 1));
 }
 
-/// Mostly short, sometimes longer than any of the module's waiting times.
+/// Draws a run time that is mostly short and sometimes longer than any timeout of the module.
 auto drawRunTime() -> Duration
 {
     return std::chrono::milliseconds(draw(0, 3) == 0 ? draw(1, 5000) : draw(1, 60));
 }
 
-/// Callers' copies come in bursts, so that several run at once.
+/// Draws an arrival time. Copies arrive in bursts, so that several run at once.
 auto drawArrivalMs() -> int
 {
     return (draw(0, 4) * 1000) + draw(0, 60);
 }
 
-/// One request of a caller, sent again until it is answered, quarantined or sent often enough.
+/// One request of a caller, retried until it completes or is quarantined.
 struct Request {
     std::uint64_t fingerprint = 0;
     std::size_t entry = 0;
@@ -54,7 +54,7 @@
     bool kills = false;
 };
 
-struct Flight {
+struct InFlightAttempt {
     std::size_t entry = 0;
     AttemptId attempt{};
     Request request;
@@ -74,9 +74,9 @@
     }
 };
 
-/// Entries, servers and callers in virtual time. A crash ends all attempts on the server, from every entry, each
-/// noticed after a delay of its own; until the server is back, connections to it are refused. Notices to peers take a
-/// few milliseconds.
+/// Simulation of entries, servers and callers in virtual time. A crash ends all attempts of all entries on the server;
+/// each end is noticed after its own delay. Until the server has restarted, it refuses connections. Notices reach peers
+/// within a few milliseconds.
 class Cell
 {
 public:
@@ -92,7 +92,7 @@
         after(std::chrono::milliseconds(request.atMs), [this, request] { tryDispatch(request); });
     }
 
-    /// Counted from the moment at which every entry can have heard of the first crash.
+    /// Sends a request after the first crash; its time counts from when every entry has received the notices of that crash.
     auto sendAfterFirstCrash(const Request &request) -> void
     {
         pending_.push_back(request);
@@ -139,51 +139,51 @@
             return;
         }
         if (decision.verdict == Verdict::Wait) {
-            tell(request.entry, announceRetry(state, Fingerprint{ request.fingerprint }, now_));
+            broadcast(request.entry, announceRetry(state, Fingerprint{ request.fingerprint }, now_));
             after(std::chrono::milliseconds(10), [this, request] { tryDispatch(request); });
             return;
         }
         const bool bound = decision.verdict == Verdict::RunOnServer;
         const int server = bound ? std::stoi(decision.server) : draw(0, ServerCount - 1);
-        const Flight flight{ .entry = request.entry, .attempt = AttemptId{ nextAttempt_++ }, .request = request, .server = server };
-        flights_[flight.attempt] = flight;
-        tell(request.entry, noteDispatched(state, flight.attempt, Fingerprint{ request.fingerprint }, std::to_string(server), now_));
-        if (now_ < upAgain_[server]) {
+        const InFlightAttempt flight{ .entry = request.entry, .attempt = AttemptId{ nextAttempt_++ }, .request = request, .server = server };
+        inFlight_[flight.attempt] = flight;
+        broadcast(request.entry, recordDispatch(state, flight.attempt, Fingerprint{ request.fingerprint }, std::to_string(server), now_));
+        if (now_ < restartedAt_[server]) {
             after(std::chrono::milliseconds(draw(1, 5)), [this, flight] { noticeRefusal(flight); });
             return;
         }
         after(drawRunTime(), [this, flight] { end(flight); });
     }
 
-    auto noticeRefusal(const Flight &flight) -> void
+    auto noticeRefusal(const InFlightAttempt &flight) -> void
     {
-        flights_.erase(flight.attempt);
-        tell(flight.entry, noteEnded(states_[flight.entry], flight.attempt, now_));
+        inFlight_.erase(flight.attempt);
+        broadcast(flight.entry, recordInconclusiveEnd(states_[flight.entry], flight.attempt, now_));
         after(std::chrono::milliseconds(50), [this, flight] { tryDispatch(flight.request); });
     }
 
-    auto end(const Flight &flight) -> void
+    auto end(const InFlightAttempt &flight) -> void
     {
-        if (flights_.erase(flight.attempt) == 0) {
+        if (inFlight_.erase(flight.attempt) == 0) {
             return;
         }
         if (!flight.request.kills) {
-            tell(flight.entry, noteCompleted(states_[flight.entry], flight.attempt, now_));
+            broadcast(flight.entry, recordCompletion(states_[flight.entry], flight.attempt, now_));
             return;
         }
         crashesBy_[flight.request.fingerprint] += 1;
-        upAgain_[flight.server] = now_ + RestartTime;
+        restartedAt_[flight.server] = now_ + RestartTime;
         sendPending();
-        std::vector<Flight> dead{ flight };
-        std::erase_if(flights_, [&](const auto &row) {
+        std::vector<InFlightAttempt> ended{ flight };
+        std::erase_if(inFlight_, [&](const auto &row) {
             const bool dies = row.second.server == flight.server;
             if (dies) {
-                dead.push_back(row.second);
+                ended.push_back(row.second);
             }
             return dies;
         });
         std::set<std::uint64_t> present;
-        for (const auto &victim : dead) {
+        for (const auto &victim : ended) {
             present.insert(victim.request.fingerprint);
             noticeCrash(victim);
         }
@@ -195,20 +195,20 @@
     auto sendPending() -> void
     {
         for (auto &request : std::exchange(pending_, {})) {
-            request.atMs += TellMs;
+            request.atMs += PropagationMs;
             send(request);
         }
     }
 
-    auto noticeCrash(const Flight &victim) -> void
+    auto noticeCrash(const InFlightAttempt &victim) -> void
     {
         after(std::chrono::milliseconds(draw(0, NoticeMs)), [this, victim] {
-            tell(victim.entry, noteCrashed(states_[victim.entry], victim.attempt, now_));
+            broadcast(victim.entry, recordCrash(states_[victim.entry], victim.attempt, now_));
             tryDispatch(victim.request);
         });
     }
 
-    auto tell(std::size_t from, const std::vector<Notice> &notices) -> void
+    auto broadcast(std::size_t from, const std::vector<Notice> &notices) -> void
     {
         for (std::size_t to = 0; to < states_.size(); ++to) {
             if (to == from || notices.empty()) {
@@ -216,7 +216,7 @@
             }
             after(std::chrono::milliseconds(draw(1, PeerMs)), [this, to, notices] {
                 for (const auto &notice : notices) {
-                    tell(to, hear(states_[to], notice, now_));
+                    broadcast(to, applyNotice(states_[to], notice, now_));
                 }
             });
         }
@@ -224,8 +224,8 @@
 
     std::vector<State> states_;
     std::vector<Request> pending_;
-    std::map<AttemptId, Flight> flights_;
-    std::map<int, TimePoint> upAgain_;
+    std::map<AttemptId, InFlightAttempt> inFlight_;
+    std::map<int, TimePoint> restartedAt_;
     std::map<std::uint64_t, std::size_t> crashesBy_;
     std::map<std::uint64_t, std::size_t> crashesWith_;
     std::priority_queue<Step, std::vector<Step>, Later> steps_;
@@ -234,21 +234,21 @@
     std::uint64_t nextAttempt_ = 1;
 };
 
-constexpr std::uint64_t FirstInnocent = 100;
+constexpr std::uint64_t FirstHarmless = 100;
 
-auto sendInnocents(Cell &cell, std::size_t entries) -> std::vector<std::uint64_t>
+auto sendHarmless(Cell &cell, std::size_t entries) -> std::vector<std::uint64_t>
 {
     std::vector<std::uint64_t> fingerprints;
     const int count = draw(0, 20);
     for (int number = 0; number < count; ++number) {
-        const std::uint64_t fingerprint = draw(FirstInnocent, FirstInnocent + 9);
+        const std::uint64_t fingerprint = draw(FirstHarmless, FirstHarmless + 9);
         cell.send({ .fingerprint = fingerprint, .entry = draw<std::size_t>(0, entries - 1), .atMs = drawArrivalMs(), .kills = false });
         fingerprints.push_back(fingerprint);
     }
     return fingerprints;
 }
 
-auto checkInnocents(const Cell &cell, const std::vector<std::uint64_t> &fingerprints) -> void
+auto checkHarmless(const Cell &cell, const std::vector<std::uint64_t> &fingerprints) -> void
 {
     for (const auto fingerprint : fingerprints) {
         if (cell.isQuarantinedSomewhere(fingerprint)) {
@@ -265,12 +265,12 @@
     for (int copy = 0; copy < copies; ++copy) {
         cell.send({ .fingerprint = static_cast<std::uint64_t>(draw(0, killers - 1)), .entry = 0, .atMs = drawArrivalMs(), .kills = true });
     }
-    const auto innocents = sendInnocents(cell, 1);
+    const auto harmless = sendHarmless(cell, 1);
     cell.runAll();
     for (int killer = 0; killer < killers; ++killer) {
         RC_ASSERT(cell.crashesBy(static_cast<std::uint64_t>(killer)) <= 2U);
     }
-    checkInnocents(cell, innocents);
+    checkHarmless(cell, harmless);
 }
 
 auto checkCell() -> void
@@ -284,19 +284,19 @@
     for (int repeat = 0; repeat < repeats; ++repeat) {
         cell.sendAfterFirstCrash({ .fingerprint = 1, .entry = drawEntry(), .atMs = drawArrivalMs(), .kills = true });
     }
-    const auto innocents = sendInnocents(cell, Entries);
+    const auto harmless = sendHarmless(cell, Entries);
     cell.runAll();
     RC_ASSERT(cell.crashesBy(1) <= 2U);
-    checkInnocents(cell, innocents);
+    checkHarmless(cell, harmless);
 }
 
-/// Schedules of one case: most meet no race at all.
+/// Random schedules per test case; most of them contain no race.
 constexpr int SchedulesPerCase = 30;
 
 } // namespace
 
 // Killers and harmless requests arrive at one entry in any order, with any number of copies at any time. Each killer
-// crashes at most two servers, and nothing is quarantined that was not present at two crashes.
+// crashes at most two servers, and a request is quarantined only if it was running at two crashes.
 RC_GTEST_PROP(CellTests, aKillerCrashesAtMostTwoServersAtOneEntry, ())
 {
     for (int schedule = 0; schedule < SchedulesPerCase; ++schedule) {
@@ -304,9 +304,9 @@
     }
 }
 
-// A caller sends a killer twice to any entries, also both at once, and after the first crash again and again, in
-// bursts and to any entry. The entries tell each other; no other service is needed. Two servers crash, not more, and
-// no copy waits for ever: the schedule would not end.
+// A caller sends a killer twice to any entries, possibly at the same time, and after the first crash repeatedly, in bursts
+// and to any entry. The entries exchange notices without another service. At most two servers may crash, and no copy may
+// wait indefinitely: the simulation would not end.
 RC_GTEST_PROP(CellTests, aKillerCrashesAtMostTwoServersInTheCell, ())
 {
     for (int schedule = 0; schedule < SchedulesPerCase; ++schedule) {
--- a/src/core/queueing/bounds.cpp
+++ b/src/core/queueing/bounds.cpp
@@ -7,7 +7,8 @@
 namespace
 {
 
-/// The newest of the requests that \p byOrderOf gives of a lane, among classes of the tier that hold more than their reserved places.
+/// The newest request of the tier, among classes with more waiting requests than reserved places. \p byOrderOf selects the
+/// requests of a lane that are considered.
 auto findNewest(const RequestQueue &queue, int tier, const auto &byOrderOf) -> std::optional<RequestId>
 {
     std::optional<RequestId> found;
--- a/src/core/queueing/internal/band.h
+++ b/src/core/queueing/internal/band.h
@@ -10,10 +10,11 @@
 
 auto insertInto(Band &band, const WaitingRequest &request) -> void;
 
-/// Whether it was there.
+/// Removes the request and returns whether it was in the band.
 auto eraseFrom(Band &band, const WaitingRequest &request) -> bool;
 
-/// Takes the nearest deadline of the workspace whose turn it is: one that was served up goes to the back. The band must not be empty.
+/// Removes and returns the request with the nearest deadline of the workspace whose turn it is. A workspace that has used
+/// up its deficit moves to the back. The band must not be empty.
 auto takeFrom(Band &band, const std::unordered_map<RequestId, WaitingRequest> &requests) -> RequestId;
 
 } // namespace auburnspread::queueing::detail
--- a/src/core/queueing/internal/lanes.h
+++ b/src/core/queueing/internal/lanes.h
@@ -1,5 +1,5 @@
 /// \file
-/// The queue's accounts, as the other files of the module need them.
+/// Bookkeeping of the queue that is shared by the files of the module.
 
 #pragma once
 
@@ -8,10 +8,10 @@
 namespace auburnspread::queueing::detail
 {
 
-/// Forgets the request everywhere but in its band.
+/// Removes the request from all indexes and counters of the queue except its band.
 auto forget(RequestQueue &queue, const WaitingRequest &request) -> void;
 
-/// Waiting requests of the class that are not on its reserved places.
+/// Number of waiting requests of the class beyond its reserved places.
 auto evictableOf(const ClassQueue &classQueue) -> std::uint32_t;
 
 } // namespace auburnspread::queueing::detail
--- a/src/core/queueing/order.cpp
+++ b/src/core/queueing/order.cpp
@@ -15,7 +15,7 @@
 using detail::ClassQueue;
 using detail::Lane;
 
-/// A lane that may go next.
+/// A lane that may be served next.
 struct Candidate {
     ClassId requestClass{};
     RouteId route{};
@@ -39,7 +39,8 @@
     return candidates;
 }
 
-/// Leaves only lanes with requests that can still be on time, if there are any: late ones give way within the whole tier.
+/// Keeps only lanes with requests that can still be on time, if there are any: late requests yield to them in the whole
+/// tier.
 auto keepOnTime(std::vector<Candidate> &candidates) -> void
 {
     const auto isLate = [](const Candidate &candidate) { return candidate.lane->onTime.flows.empty(); };
@@ -48,7 +49,7 @@
     }
 }
 
-/// Rounds of deficit round robin until the first candidate may be served, done at once.
+/// Adds the credit of as many rounds of deficit round robin as the first candidate needs to be served, in one step.
 auto replenish(const std::vector<Candidate> &candidates) -> void
 {
     auto rounds = std::numeric_limits<std::int64_t>::max();
@@ -68,7 +69,7 @@
     }
 }
 
-/// The class with most credit; of its lanes the one that was served least recently.
+/// Orders candidates: the class with the largest deficit counter first; within a class, the lane served least recently.
 auto goesBefore(const Candidate &left, const Candidate &right) -> bool
 {
     if (left.requestClass != right.requestClass) {
@@ -83,7 +84,8 @@
     return left.route < right.route;
 }
 
-/// The request of the lane that its class's floor would serve.
+/// The request of the lane that the floor of its class would serve: the oldest one if it has waited longer than the
+/// starvation bound, on-time requests first.
 auto findOverdue(const RequestQueue &queue, const Candidate &candidate, TimePoint now) -> std::optional<RequestId>
 {
     for (const auto *byOrder : { &candidate.lane->onTime.byOrder, &candidate.lane->late.byOrder }) {
--- a/src/core/queueing/requestqueue.cpp
+++ b/src/core/queueing/requestqueue.cpp
@@ -42,7 +42,7 @@
     route.waiting -= 1;
     countIn(queue, classQueue, -1);
     if (classQueue.waiting == 0) {
-        // An idle class keeps no credit, and no more debt than one request's: it may not be locked out by what it used long ago.
+        // An idle class keeps no credit, and at most the debt of one request, so that its past use does not block it later.
         classQueue.deficit = std::clamp<std::int64_t>(classQueue.deficit, -static_cast<std::int64_t>(request.cost), 0);
     }
     queue.requests.erase(request.request);
@@ -65,7 +65,7 @@
     return lane == classQueue->second.lanes.end() ? nullptr : &lane->second;
 }
 
-/// Requests of the band that will go before a new one of the workspace.
+/// Number of requests of the band that are served before a new one of the workspace.
 auto countTurnsBefore(const detail::Band &band, WorkspaceId workspace, std::uint32_t weight) -> std::uint32_t
 {
     const auto flow = band.flows.find(workspace);
--- a/src/core/queueing/tests/requestqueue_tests.cpp
+++ b/src/core/queueing/tests/requestqueue_tests.cpp
@@ -21,7 +21,7 @@
 {
     RequestQueue queue;
     for (int number = 0; number < ClassCount; ++number) {
-        // Two classes a tier, the second with three times the weight of the first.
+        // Two classes per tier, the second with three times the weight of the first.
         setClass(queue, static_cast<ClassId>(number), { .tier = number / 2, .weight = number % 2 == 0 ? 1U : 3U, .starvationBound = std::chrono::seconds(1) });
     }
     return queue;
@@ -37,7 +37,7 @@
              .deadline = TimePoint(std::chrono::seconds(100)) };
 }
 
-/// What a queue must hold, kept in the plainest way.
+/// Reference model of the expected content of a queue.
 using Model = std::map<RequestId, WaitingRequest>;
 
 auto tierOf(const WaitingRequest &request) -> int
@@ -88,7 +88,7 @@
 
 } // namespace
 
-RC_GTEST_PROP(RequestQueueProperties, holdsWhatAPlainListHoldsAndServesTheHighestTierByDeadline, ())
+RC_GTEST_PROP(RequestQueueProperties, matchesAReferenceModelAndServesTheHighestTierByDeadline, ())
 {
     auto queue = makeQueue();
     Model model;
@@ -118,8 +118,8 @@
     }
 }
 
-// One workspace floods the class with long requests, another one sends short ones. Each gets its half of the tokens, so
-// the flood delays the other one by no more than a few requests, however long its queue is.
+// One workspace floods the class with long requests, another one sends short ones. Each must get half of the tokens, so
+// that the flood delays the other workspace by at most a few requests, however long its queue is.
 TEST(RequestQueueTests, workspacesAndClassesShareTokensByWeight)
 {
     auto queue = makeQueue();
@@ -148,7 +148,7 @@
     EXPECT_NEAR(static_cast<double>(byWorkspace[1]) / static_cast<double>(byWorkspace[2]), 1.0, 0.1);
 }
 
-TEST(RequestQueueTests, aRequestThatCanStillBeOnTimeGoesBeforeALateOneOfItsClass)
+TEST(RequestQueueTests, aRequestThatCanStillBeOnTimeIsServedBeforeALateOneOfItsClass)
 {
     auto queue = makeQueue();
     enqueue(queue, makeRequest(1, 0, 1));
@@ -158,9 +158,10 @@
     EXPECT_EQ(takeNext(queue, Routes)->request, RequestId{ 1 });
 }
 
-// Every class of the top tier but one has only late requests, and a lower tier waits, too. The one that can still be on
-// time goes first, whatever credit the other classes have; then the late ones of its tier, and only then the lower tier.
-TEST(RequestQueueTests, lateRequestsGoBehindTheirTierButNotBehindALowerOne)
+// All classes of the top tier but one have only late requests, and a lower tier is waiting as well. Requests that can
+// still be on time are served first, whatever credit the other classes have; then the late ones of the tier, and only
+// then the lower tier.
+TEST(RequestQueueTests, lateRequestsAreServedLastInTheirTierButBeforeLowerTiers)
 {
     auto queue = makeQueue();
     enqueue(queue, makeRequest(1, 1, 1));
@@ -174,8 +175,8 @@
     EXPECT_EQ(takeNext(queue, Routes)->request, RequestId{ 2 });
 }
 
-// A class that lives on its floor has both kinds of requests past its starvation bound. The floor is better used for one
-// that can still be on time, although a late one has waited for longer.
+// A class that is served only by its floor has on-time and late requests beyond its starvation bound. The floor must
+// serve a request that can still be on time first, although a late one has waited longer.
 TEST(RequestQueueTests, theFloorServesAnOverdueRequestThatCanStillBeOnTimeFirst)
 {
     auto queue = makeQueue();
--- a/src/core/routing/internal/ending.cpp
+++ b/src/core/routing/internal/ending.cpp
@@ -129,7 +129,7 @@
     const auto fingerprint = request.call.fingerprint;
     learnAnswer(state, request, attempt, tokens);
     balancing::noteFinished(*state.balancing, id, tokens - std::min(tokens, attempt.resumeOffset), state.now);
-    tellCell(quarantine::noteCompleted(state.quarantine, id, state.now), actions);
+    tellCell(quarantine::recordCompletion(state.quarantine, id, state.now), actions);
     releaseAttempt(state, id);
     while (!request.attempts.empty()) {
         cancelAttempt(state, request.attempts.back(), actions);
@@ -151,7 +151,7 @@
     request.tried.push_back({ .name = attempt.serverName, .failureDomain = view.failureDomain });
     balancing::noteFailed(*state.balancing, id, failure, state.now);
     const auto isCrash = looksLikeCrash(failure);
-    tellCell(isCrash ? quarantine::noteCrashed(state.quarantine, id, state.now) : quarantine::noteEnded(state.quarantine, id, state.now), actions);
+    tellCell(isCrash ? quarantine::recordCrash(state.quarantine, id, state.now) : quarantine::recordInconclusiveEnd(state.quarantine, id, state.now), actions);
     releaseAttempt(state, id);
     releaseHeld(state, request.call.fingerprint, actions);
 }
@@ -165,7 +165,7 @@
         actions.emplace_back(CancelAttempt{ .attempt = id });
     }
     balancing::noteCancelled(*state.balancing, id, state.now);
-    tellCell(quarantine::noteEnded(state.quarantine, id, state.now), actions);
+    tellCell(quarantine::recordInconclusiveEnd(state.quarantine, id, state.now), actions);
     releaseAttempt(state, id);
     releaseHeld(state, request.call.fingerprint, actions);
 }
--- a/src/core/routing/internal/placing.cpp
+++ b/src/core/routing/internal/placing.cpp
@@ -42,7 +42,7 @@
         .progressTimeout = limits.progressTimeout,
     });
     if (request.call.fingerprint != Fingerprint{}) {
-        tellCell(quarantine::noteDispatched(state.quarantine, attempt.id, request.call.fingerprint, attempt.serverName, state.now), actions);
+        tellCell(quarantine::recordDispatch(state.quarantine, attempt.id, request.call.fingerprint, attempt.serverName, state.now), actions);
     }
 }
 
--- a/src/core/routing/internal/suspects.cpp
+++ b/src/core/routing/internal/suspects.cpp
@@ -109,7 +109,7 @@
         }
     } else {
         const quarantine::Notice notice{ .fingerprint = event.fingerprint, .mark = toQuarantine(event.mark), .entry = event.entry, .server = event.server };
-        tellCell(quarantine::hear(state.quarantine, notice, state.now), actions);
+        tellCell(quarantine::applyNotice(state.quarantine, notice, state.now), actions);
     }
     reviewHeld(state, actions);
 }
