--- a/src/core/fleet/entryrecord.h
+++ b/src/core/fleet/entryrecord.h
@@ -1,5 +1,5 @@
 /// \file
-/// What entries know of each other.
+/// The record by which entries know each other.
 
 #pragma once
 
@@ -9,14 +9,14 @@
 namespace auburnspread::fleet
 {
 
-/// One entry: who it is and where it is reached.
+/// Identity and addresses of one entry.
 struct EntryRecord {
     std::string name; ///< unique in the deployment
     std::string callerAddress;
     std::string peerAddress;
     std::string failureDomain;
-    std::uint32_t strength = 0;    ///< of its VM: link and processor, for the choice of readers
-    std::uint64_t incarnation = 0; ///< differs between two starts of the entry
+    std::uint32_t strength = 0;    ///< capacity of the VM's link and processor; ranks candidates for readers and hubs
+    std::uint64_t incarnation = 0; ///< changes with each start of the entry
 
     auto operator==(const EntryRecord &) const -> bool = default;
 };
--- a/src/core/fleet/hubs.cpp
+++ b/src/core/fleet/hubs.cpp
@@ -11,18 +11,18 @@
 namespace
 {
 
-/// A hub sends ten sums a second.
-constexpr Duration HubSilence = std::chrono::milliseconds(350);
-/// After this time a silent hub is tried again.
-constexpr Duration SilentTime = std::chrono::seconds(3);
+/// A hub without a fleet report for this long is unresponsive; hubs send ten a second.
+constexpr Duration HubTimeout = std::chrono::milliseconds(350);
+/// An unresponsive hub is tried again after this time.
+constexpr Duration HubRetryDelay = std::chrono::seconds(3);
 
-auto isSilent(const Hubs &hubs, const std::string &entry, TimePoint now) -> bool
+auto isUnresponsive(const HubSelection &hubs, const std::string &entry, TimePoint now) -> bool
 {
-    const auto found = hubs.silentUntil.find(entry);
-    return found != hubs.silentUntil.end() && now < found->second;
+    const auto found = hubs.unresponsiveUntil.find(entry);
+    return found != hubs.unresponsiveUntil.end() && now < found->second;
 }
 
-auto entriesOf(const std::vector<EntryRecord> &entries, const std::string &failureDomain) -> std::vector<EntryRecord>
+auto entriesInDomain(const std::vector<EntryRecord> &entries, const std::string &failureDomain) -> std::vector<EntryRecord>
 {
     std::vector<EntryRecord> found;
     std::copy_if(entries.begin(), entries.end(), std::back_inserter(found), [&](const EntryRecord &entry) { return entry.failureDomain == failureDomain; });
@@ -34,39 +34,39 @@
     return std::any_of(entries.begin(), entries.end(), [&name](const EntryRecord &entry) { return entry.name == name; });
 }
 
-/// When the hub last showed that it sums up, or began to be told.
-auto lastSign(const Hubs &hubs, const std::string &hub) -> TimePoint
+/// \return the time of the last fleet report of \p hub, or of the start of reporting to it if that is later
+auto lastActivity(const HubSelection &hubs, const std::string &hub) -> TimePoint
 {
-    const auto heard = hubs.heardAt.find(hub);
-    return std::max(hubs.toldSince.at(hub), heard == hubs.heardAt.end() ? TimePoint() : heard->second);
+    const auto lastSum = hubs.lastSumAt.find(hub);
+    return std::max(hubs.reportedSince.at(hub), lastSum == hubs.lastSumAt.end() ? TimePoint() : lastSum->second);
 }
 
 } // namespace
 
-auto noteSum(Hubs &hubs, const std::string &entry, TimePoint now) -> void
+auto recordFleetReport(HubSelection &hubs, const std::string &entry, TimePoint now) -> void
 {
-    hubs.heardAt[entry] = now;
-    hubs.silentUntil.erase(entry);
+    hubs.lastSumAt[entry] = now;
+    hubs.unresponsiveUntil.erase(entry);
 }
 
-auto chooseHubs(Hubs &hubs, const std::vector<EntryRecord> &entries, const EntryRecord &self, TimePoint now) -> std::vector<EntryRecord>
+auto chooseHubs(HubSelection &hubs, const std::vector<EntryRecord> &entries, const EntryRecord &self, TimePoint now) -> std::vector<EntryRecord>
 {
-    auto candidates = entriesOf(entries, self.failureDomain);
+    auto candidates = entriesInDomain(entries, self.failureDomain);
     const auto isListed = contains(candidates, self.name);
     if (!isListed) {
         candidates.push_back(self);
     }
-    std::erase_if(candidates, [&](const EntryRecord &entry) { return isSilent(hubs, entry.name, now); });
+    std::erase_if(candidates, [&](const EntryRecord &entry) { return isUnresponsive(hubs, entry.name, now); });
     auto chosen = chooseReaders(candidates, HubCount);
-    std::erase_if(hubs.toldSince, [&chosen](const auto &item) { return !contains(chosen, item.first); });
+    std::erase_if(hubs.reportedSince, [&chosen](const auto &item) { return !contains(chosen, item.first); });
     for (const auto &hub : chosen) {
         if (hub.name == self.name) {
             continue;
         }
-        hubs.toldSince.try_emplace(hub.name, now);
-        // a hub tells only those that are listed
-        if (isListed && now - lastSign(hubs, hub.name) > HubSilence) {
-            hubs.silentUntil[hub.name] = now + SilentTime;
+        hubs.reportedSince.try_emplace(hub.name, now);
+        // hubs send fleet reports only to listed entries
+        if (isListed && now - lastActivity(hubs, hub.name) > HubTimeout) {
+            hubs.unresponsiveUntil[hub.name] = now + HubRetryDelay;
             return chooseHubs(hubs, entries, self, now);
         }
     }
@@ -81,12 +81,12 @@
             byDomain[entry.failureDomain].push_back(entry);
         }
     }
-    std::vector<EntryRecord> told;
+    std::vector<EntryRecord> recipients;
     for (auto &[domain, members] : byDomain) {
         const auto chosen = chooseReaders(std::move(members), HubCount);
-        told.push_back(chosen.at(turn % chosen.size()));
+        recipients.push_back(chosen.at(turn % chosen.size()));
     }
-    return told;
+    return recipients;
 }
 
 } // namespace auburnspread::fleet
--- a/src/core/fleet/hubs.h
+++ b/src/core/fleet/hubs.h
@@ -1,11 +1,12 @@
 /// \file
-/// Which entries of a failure domain sum up the reports of load of that domain. Pure.
+/// Chooses the hubs of a failure domain: the entries that aggregate its load reports. Has no side effects.
 ///
-/// Each entry tells the first two in rank of its own failure domain what it has in flight. These tell their sum to the hubs of the other
-/// domains, and the sum of all to the entries of their own: datagrams grow with the number of entries, and few cross domains.
+/// Each entry reports its in-flight load to the two highest-ranked entries of its own failure domain. These hubs send their domain's sum
+/// to the hubs of the other domains, and the sum over all domains to the entries of their own domain. The number of datagrams therefore
+/// grows linearly with the number of entries, and few datagrams cross failure domains.
 ///
-/// Failure: a hub dies, or is cut off. Symptom: for as long as the entries take to find out, they place requests by what they knew before.
-/// So a hub that is told and says nothing is replaced by the next in rank at once; all its entries miss it in the same moment.
+/// While a crashed or partitioned hub goes undetected, its entries place requests by outdated loads. A hub that receives reports but
+/// sends no sum is therefore replaced by the next in rank at once. All entries of the domain miss its sums at the same time.
 
 #pragma once
 
@@ -20,22 +21,25 @@
 namespace auburnspread::fleet
 {
 
-/// While one is lost the other goes on.
+/// Hubs of each failure domain; with two, the other continues if one is lost.
 constexpr std::size_t HubCount = 2;
 
-struct Hubs {
-    std::map<std::string, TimePoint> toldSince;   ///< without a pause, by name
-    std::map<std::string, TimePoint> heardAt;     ///< its last sum
-    std::map<std::string, TimePoint> silentUntil; ///< not told meanwhile
+/// Health of the hubs that an entry reports to; each map is keyed by entry name.
+struct HubSelection {
+    std::map<std::string, TimePoint> reportedSince;     ///< start of uninterrupted reporting to the hub
+    std::map<std::string, TimePoint> lastSumAt;         ///< time of the hub's last fleet report
+    std::map<std::string, TimePoint> unresponsiveUntil; ///< the hub is not chosen until then
 };
 
-/// \p entry sent the sum of all.
-auto noteSum(Hubs &hubs, const std::string &entry, TimePoint now) -> void;
+/// Records that \p entry sent a fleet report, that is, the sum over all failure domains.
+auto recordFleetReport(HubSelection &hubs, const std::string &entry, TimePoint now) -> void;
 
-/// The hubs of the failure domain of \p self, itself perhaps among them, the first in rank first. To be asked whenever they are told.
-auto chooseHubs(Hubs &hubs, const std::vector<EntryRecord> &entries, const EntryRecord &self, TimePoint now) -> std::vector<EntryRecord>;
+/// Chooses the hubs of the failure domain of \p self, highest rank first; \p self may be one of them. Must be called before each report to
+/// the hubs, since it detects hubs that do not respond.
+auto chooseHubs(HubSelection &hubs, const std::vector<EntryRecord> &entries, const EntryRecord &self, TimePoint now) -> std::vector<EntryRecord>;
 
-/// For each other failure domain the hub that is told in this \p turn: each in turn, as one of them may be lost.
+/// \return for each other failure domain, the hub that receives the report of this \p turn. The hubs of a domain alternate, since one of
+/// them may be lost.
 auto hubsOfOtherDomains(const std::vector<EntryRecord> &entries, const EntryRecord &self, std::size_t turn) -> std::vector<EntryRecord>;
 
 } // namespace auburnspread::fleet
--- a/src/core/fleet/membership.cpp
+++ b/src/core/fleet/membership.cpp
@@ -6,15 +6,15 @@
 namespace
 {
 
-/// Entries that left are remembered so that a late heartbeat does not bring them back.
-constexpr std::size_t MostRemembered = 1000;
+/// Departed entries that are kept, so that a delayed heartbeat does not add a departed entry again.
+constexpr std::size_t MaxDepartures = 1000;
 
-auto noteLeft(Membership &membership, const Heartbeat &heartbeat) -> bool
+auto recordDeparture(Membership &membership, const Heartbeat &heartbeat) -> bool
 {
-    if (membership.left.size() >= MostRemembered) {
-        membership.left.clear();
+    if (membership.departedIncarnations.size() >= MaxDepartures) {
+        membership.departedIncarnations.clear();
     }
-    membership.left[heartbeat.entry.name] = heartbeat.entry.incarnation;
+    membership.departedIncarnations[heartbeat.entry.name] = heartbeat.entry.incarnation;
     return membership.members.erase(heartbeat.entry.name) > 0;
 }
 
@@ -24,40 +24,40 @@
 {
     membership.collectingSince = now;
     for (const auto &entry : listed) {
-        membership.members.try_emplace(entry.name, Membership::Member{ .entry = entry, .heardAt = now });
+        membership.members.try_emplace(entry.name, Membership::Member{ .entry = entry, .lastHeartbeatAt = now });
     }
 }
 
-auto noteHeartbeat(Membership &membership, const Heartbeat &heartbeat, TimePoint now) -> bool
+auto applyHeartbeat(Membership &membership, const Heartbeat &heartbeat, TimePoint now) -> bool
 {
     if (heartbeat.isLeaving) {
-        return noteLeft(membership, heartbeat);
+        return recordDeparture(membership, heartbeat);
     }
-    const auto left = membership.left.find(heartbeat.entry.name);
-    if (left != membership.left.end() && left->second == heartbeat.entry.incarnation) {
+    const auto departed = membership.departedIncarnations.find(heartbeat.entry.name);
+    if (departed != membership.departedIncarnations.end() && departed->second == heartbeat.entry.incarnation) {
         return false;
     }
     if (!membership.collectingSince) {
         membership.collectingSince = now;
     }
     auto &member = membership.members[heartbeat.entry.name];
-    const auto isNews = member.entry != heartbeat.entry;
-    member = { .entry = heartbeat.entry, .heardAt = now };
-    return isNews;
+    const auto isChanged = member.entry != heartbeat.entry;
+    member = { .entry = heartbeat.entry, .lastHeartbeatAt = now };
+    return isChanged;
 }
 
-auto dropLeaving(const Membership &membership, std::vector<EntryRecord> &entries) -> void
+auto removeDeparted(const Membership &membership, std::vector<EntryRecord> &entries) -> void
 {
     std::erase_if(entries, [&membership](const EntryRecord &entry) {
-        const auto left = membership.left.find(entry.name);
-        return left != membership.left.end() && left->second == entry.incarnation;
+        const auto departed = membership.departedIncarnations.find(entry.name);
+        return departed != membership.departedIncarnations.end() && departed->second == entry.incarnation;
     });
 }
 
 auto expireMembers(Membership &membership, TimePoint now) -> void
 {
     const auto hadMembers = !membership.members.empty();
-    std::erase_if(membership.members, [now](const auto &item) { return now - item.second.heardAt > MemberAge; });
+    std::erase_if(membership.members, [now](const auto &item) { return now - item.second.lastHeartbeatAt > MemberTimeout; });
     if (hadMembers && membership.members.empty()) {
         membership.collectingSince.reset();
     }
@@ -65,7 +65,7 @@
 
 auto listMembers(const Membership &membership, TimePoint now) -> std::optional<std::vector<EntryRecord>>
 {
-    if (!membership.collectingSince || now - *membership.collectingSince < CollectingTime) {
+    if (!membership.collectingSince || now - *membership.collectingSince < MinCollectionTime) {
         return std::nullopt;
     }
     std::vector<EntryRecord> entries;
--- a/src/core/fleet/membership.h
+++ b/src/core/fleet/membership.h
@@ -1,8 +1,8 @@
 /// \file
-/// Which entries are alive, as an entry that reads the store for others hears it from their heartbeats. Pure.
+/// Tracks which entries are alive by the heartbeats that a reader of the store receives. Has no side effects.
 ///
-/// Weighed: a registration of each entry under a lease of its own costs three calls to the store for each entry at each start, and
-/// renewals for ever. Heartbeats cost datagrams, and tell sooner that an entry is gone.
+/// The alternative, a registration of each entry under its own lease, needs three store calls per entry at each start, and renewals for
+/// as long as the entry runs. Heartbeats need only datagrams and detect the loss of an entry sooner.
 
 #pragma once
 
@@ -18,47 +18,50 @@
 namespace auburnspread::fleet
 {
 
-/// Between two heartbeats of an entry.
+/// Interval between two heartbeats of an entry.
 constexpr Duration HeartbeatInterval = std::chrono::milliseconds(300);
-/// An entry that was not heard for this long is gone: six heartbeats, of which a bad link loses a few.
-constexpr Duration MemberAge = std::chrono::milliseconds(1800);
-/// All entries that live are heard within this: one heartbeat of each, and what entries that start together differ by.
-constexpr Duration CollectingTime = std::chrono::milliseconds(500);
+/// An entry without a heartbeat for this long is removed. The time spans six heartbeats, since a bad link loses a few.
+constexpr Duration MemberTimeout = std::chrono::milliseconds(1800);
+/// Time in which every live entry sends a heartbeat: one interval, and the skew between entries that start together.
+constexpr Duration MinCollectionTime = std::chrono::milliseconds(500);
 
-/// An entry says that it is there.
+/// The periodic message by which an entry states that it is alive.
 struct Heartbeat {
     EntryRecord entry;
-    bool isLeaving = false; ///< callers must not be sent there any more
+    bool isLeaving = false; ///< callers must no longer be directed to the entry
 };
 
+/// The live entries as one reader of the store knows them.
 struct Membership {
     struct Member {
         EntryRecord entry;
-        TimePoint heardAt;
+        TimePoint lastHeartbeatAt;
     };
-    std::map<std::string, Member> members;     ///< by name, without the collecting entry itself
-    std::map<std::string, std::uint64_t> left; ///< incarnation that said it was leaving, by name
-    std::optional<TimePoint> collectingSince;  ///< not set: nobody is heard
+    std::map<std::string, Member> members;                     ///< by name; excludes the collecting entry itself
+    std::map<std::string, std::uint64_t> departedIncarnations; ///< incarnation that announced its departure, by entry name
+    std::optional<TimePoint> collectingSince;                  ///< not set while no heartbeat is received
 };
 
-/// The entry begins to collect, and takes over what others listed.
+/// Starts to collect heartbeats, with the entries that another reader \p listed as initial members.
 auto beginCollecting(Membership &membership, const std::vector<EntryRecord> &listed, TimePoint now) -> void;
 
-/// \return whether an entry came or left
-auto noteHeartbeat(Membership &membership, const Heartbeat &heartbeat, TimePoint now) -> bool;
+/// Updates the members by a heartbeat.
+/// \return whether an entry joined, changed or left
+auto applyHeartbeat(Membership &membership, const Heartbeat &heartbeat, TimePoint now) -> bool;
 
-/// Takes those out that said to this entry that they are leaving.
+/// Removes the entries that have announced their departure to this entry.
 ///
-/// Failure: a list from before goes round after an entry has said that it leaves. Symptom: callers are sent to it for as long as the list
-/// is believed, and their requests are cut when it ends.
-auto dropLeaving(const Membership &membership, std::vector<EntryRecord> &entries) -> void;
+/// A list that was made before the announcement may still circulate. Callers would be directed to the departing entry until the list
+/// expires, and their requests would be aborted when the entry exits.
+auto removeDeparted(const Membership &membership, std::vector<EntryRecord> &entries) -> void;
 
+/// Removes the members without a heartbeat for MemberTimeout.
 auto expireMembers(Membership &membership, TimePoint now) -> void;
 
-/// The entries that are heard, sorted by name; nothing while the entry has collected for too short a time to know.
+/// \return the live entries, sorted by name; nothing until heartbeats have been collected for long enough to include every entry
 ///
-/// Failure: an entry that reads the store for others is cut off from them and returns, or starts. Symptom: it lists the few that it has
-/// heard since, and whoever asks it takes the others for dead. So it lists nothing until every heartbeat has had its turn.
+/// A reader that has just started, or that returns after a partition, knows only the few entries whose heartbeats have arrived since.
+/// Entries that query it would consider all others dead. It therefore publishes no list until each entry has had time for a heartbeat.
 auto listMembers(const Membership &membership, TimePoint now) -> std::optional<std::vector<EntryRecord>>;
 
 } // namespace auburnspread::fleet
--- a/src/core/fleet/role.cpp
+++ b/src/core/fleet/role.cpp
@@ -13,16 +13,16 @@
 namespace
 {
 
-/// An unfit entry is tried again after this time. While the store is away an entry finds another one unfit some three times a second,
-/// so about ten entries at a time, the first in rank, try the store.
-constexpr Duration UnfitTime = std::chrono::seconds(3);
+/// An unfit entry is tried again after this time. During an outage of the store, an entry marks about three others a second as unfit, so
+/// about ten entries at a time, the highest-ranked ones, read the store.
+constexpr Duration UnfitDuration = std::chrono::seconds(3);
 
-/// A seed that hears nothing from the other seeds for this long is the first to start.
-constexpr Duration SeedPatience = std::chrono::milliseconds(80);
-/// Other entries wait longer for an answer of the seeds, which have to read the store first, and each for a time of its own, so that
-/// where no seed answers the first of them can tell the rest.
-constexpr Duration StartPatience = std::chrono::milliseconds(700);
-constexpr Duration StartSpread = std::chrono::milliseconds(900);
+/// A seed without an answer of another seed for this long assumes that it started first.
+constexpr Duration SeedTimeout = std::chrono::milliseconds(80);
+/// Other entries wait longer for the seeds, which have to read the store first. Each adds its own jitter, so that if no seed answers, the
+/// first entry that reads the store can answer the others.
+constexpr Duration StartupTimeout = std::chrono::milliseconds(700);
+constexpr Duration StartupJitter = std::chrono::milliseconds(900);
 
 auto isSeed(const RoleOptions &options) -> bool
 {
@@ -36,16 +36,16 @@
     return seeds;
 }
 
-auto patienceOf(const RoleOptions &options) -> Duration
+auto isolationTimeoutOf(const RoleOptions &options) -> Duration
 {
     if (otherSeeds(options).empty()) {
         return Duration::zero();
     }
     if (isSeed(options)) {
-        return SeedPatience;
+        return SeedTimeout;
     }
     const auto draw = XXH64(options.self.name.data(), options.self.name.size(), 0);
-    return StartPatience + Duration(static_cast<Duration::rep>(draw % static_cast<std::uint64_t>(StartSpread.count())));
+    return StartupTimeout + Duration(static_cast<Duration::rep>(draw % static_cast<std::uint64_t>(StartupJitter.count())));
 }
 
 auto isUnfit(const Role &role, const std::string &peerAddress, TimePoint now) -> bool
@@ -54,14 +54,14 @@
     return found != role.unfitUntil.end() && now < found->second;
 }
 
-/// Without word of others for so long that they may be gone, or not there yet.
-auto isAlone(const Role &role, TimePoint now) -> bool
+/// \return whether no other entry has answered for so long that none may be running
+auto isIsolated(const Role &role, TimePoint now) -> bool
 {
-    return role.entries.empty() && now - role.answeredAt.value_or(role.startedAt) >= patienceOf(role.options);
+    return role.entries.empty() && now - role.lastAnswerAt.value_or(role.startedAt) >= isolationTimeoutOf(role.options);
 }
 
-/// With a list from before, an entry asks first: the others may know better who is there.
-constexpr Duration RememberedPatience = std::chrono::milliseconds(40);
+/// An entry with a stale list queries the others for this long before it reads the store, since they may have a newer list.
+constexpr Duration StaleListDelay = std::chrono::milliseconds(40);
 
 auto mayRead(const Role &role, TimePoint now) -> bool
 {
@@ -69,9 +69,9 @@
         return false;
     }
     if (role.entries.empty()) {
-        return isAlone(role, now) && (role.registrationsAt || isSeed(role.options));
+        return isIsolated(role, now) && (role.registrationsReadAt || isSeed(role.options));
     }
-    return !role.entriesAreOld || now - role.startedAt >= RememberedPatience;
+    return !role.entriesAreStale || now - role.startedAt >= StaleListDelay;
 }
 
 auto addCandidates(std::vector<EntryRecord> &candidates, const std::vector<EntryRecord> &entries) -> void
@@ -96,8 +96,8 @@
     return candidates;
 }
 
-/// Where none is fit, all are: the store is away for all of them, and somebody has to notice that it is back.
-auto keepFit(const std::vector<EntryRecord> &candidates, const Role &role, TimePoint now) -> std::vector<EntryRecord>
+/// \return the fit candidates, or all if none is fit: during an outage of the store, some entry must keep reading to detect its end
+auto fitCandidates(const std::vector<EntryRecord> &candidates, const Role &role, TimePoint now) -> std::vector<EntryRecord>
 {
     auto fit = candidates;
     std::erase_if(fit, [&](const EntryRecord &entry) { return isUnfit(role, entry.peerAddress, now); });
@@ -119,53 +119,53 @@
     return { .options = std::move(options), .startedAt = now };
 }
 
-auto noteUnfit(Role &role, const std::string &peerAddress, TimePoint now) -> void
+auto markUnfit(Role &role, const std::string &peerAddress, TimePoint now) -> void
 {
     auto &until = role.unfitUntil[peerAddress];
     if (now >= until) {
-        until = now + UnfitTime;
+        until = now + UnfitDuration;
     }
 }
 
-auto noteFit(Role &role, const std::string &peerAddress, TimePoint now) -> void
+auto markFit(Role &role, const std::string &peerAddress, TimePoint now) -> void
 {
     role.unfitUntil.erase(peerAddress);
     if (peerAddress != role.options.self.peerAddress) {
-        role.answeredAt = now;
+        role.lastAnswerAt = now;
     }
 }
 
-auto assign(const Role &role, TimePoint now) -> Assignment
+auto computeAssignment(const Role &role, TimePoint now) -> Assignment
 {
     Assignment assignment;
     const auto &self = role.options.self.peerAddress;
     const auto candidates = findCandidates(role, now);
-    for (const auto &reader : chooseReaders(keepFit(candidates, role, now))) {
+    for (const auto &reader : chooseReaders(fitCandidates(candidates, role, now))) {
         if (reader.peerAddress == self) {
-            assignment.reads = true;
-            assignment.isFirst = assignment.ask.empty();
+            assignment.readsStore = true;
+            assignment.isFirstReader = assignment.queryAddresses.empty();
         } else {
-            assignment.ask.push_back(reader.peerAddress);
+            assignment.queryAddresses.push_back(reader.peerAddress);
         }
     }
-    assignment.heartbeatsTo = assignment.ask;
+    assignment.heartbeatAddresses = assignment.queryAddresses;
     for (const auto &first : chooseReaders(candidates)) {
-        addAddress(assignment.heartbeatsTo, first.peerAddress);
+        addAddress(assignment.heartbeatAddresses, first.peerAddress);
     }
     if (role.entries.empty()) {
         const auto seeds = otherSeeds(role.options);
-        std::for_each(seeds.begin(), seeds.end(), [&](const std::string &seed) { addAddress(assignment.heartbeatsTo, seed); });
+        std::for_each(seeds.begin(), seeds.end(), [&](const std::string &seed) { addAddress(assignment.heartbeatAddresses, seed); });
     }
-    std::erase(assignment.heartbeatsTo, self);
-    if (assignment.ask.empty()) {
-        assignment.ask = otherSeeds(role.options);
+    std::erase(assignment.heartbeatAddresses, self);
+    if (assignment.queryAddresses.empty()) {
+        assignment.queryAddresses = otherSeeds(role.options);
     }
     return assignment;
 }
 
 auto needsRegistrations(const Role &role, TimePoint now) -> bool
 {
-    return !isSeed(role.options) && !role.registrationsAt && isAlone(role, now);
+    return !isSeed(role.options) && !role.registrationsReadAt && isIsolated(role, now);
 }
 
 } // namespace auburnspread::fleet
--- a/src/core/fleet/role.h
+++ b/src/core/fleet/role.h
@@ -1,11 +1,11 @@
 /// \file
-/// Whether this entry reads the platform's store for others, and which entries it asks otherwise. Pure.
+/// Decides whether this entry reads the platform's store for others, and which entries it queries otherwise. Has no side effects.
 ///
-/// Readers are the first in rank (see readers.h) among the entries that live and are fit. An entry is unfit for some seconds after it
-/// did not answer, or answered by what it had from the store too long ago; the next in rank takes its place without any message.
+/// The readers are the highest-ranked entries (see readers.h) that are alive and fit. An entry is unfit for some seconds after it did not
+/// answer, or answered with outdated data of the store; the next in rank replaces it without any message.
 ///
-/// Failure: the store is away, or turns some entries away. Symptom: every entry that gets no confirmation reads the store for itself,
-/// again and again, when it can bear it least. Here only those that come into the first ranks try, a few at a time.
+/// If every entry without a confirmation read the store itself, an outage or overload of the store would draw repeated reads from the whole
+/// fleet. Here only entries that move up to the first ranks read it, a few at a time.
 
 #pragma once
 
@@ -21,19 +21,21 @@
 namespace auburnspread::fleet
 {
 
+/// Identity of this entry and the addresses that it starts with.
 struct RoleOptions {
     EntryRecord self;
-    std::vector<std::string> seeds; ///< peer addresses of entries that may be there when this one starts; it may be one of them
+    std::vector<std::string> seeds; ///< peer addresses of entries that may be running when this one starts; may include its own
 };
 
+/// Data from which the role of this entry is derived.
 struct Role {
     RoleOptions options;
     TimePoint startedAt;
-    std::optional<TimePoint> answeredAt;      ///< an entry told what it knows
-    std::vector<EntryRecord> entries;         ///< alive, this one included, as listed; empty: nobody told yet
-    bool entriesAreOld = false;               ///< they are remembered from before this entry started
-    std::vector<EntryRecord> registered;      ///< in the store: entries that read it, for those that know nobody
-    std::optional<TimePoint> registrationsAt; ///< the store was asked for them
+    std::optional<TimePoint> lastAnswerAt;        ///< time of the last valid answer of another entry
+    std::vector<EntryRecord> entries;             ///< listed live entries, including this one; empty until a list is received
+    bool entriesAreStale = false;                 ///< the list is a saved or delayed one, older than MemberTimeout
+    std::vector<EntryRecord> registered;          ///< readers registered in the store, for entries that know no other entry
+    std::optional<TimePoint> registrationsReadAt; ///< time at which the registrations were read
     bool isLeaving = false;
 
     std::map<std::string, TimePoint> unfitUntil; ///< by peer address
@@ -41,21 +43,23 @@
 
 auto makeRole(RoleOptions options, TimePoint now) -> Role;
 
-/// The entry at this address did not answer, or has had nothing fresh from the store.
-auto noteUnfit(Role &role, const std::string &peerAddress, TimePoint now) -> void;
-/// It answered, with fresh knowledge of the store.
-auto noteFit(Role &role, const std::string &peerAddress, TimePoint now) -> void;
+/// Records that the entry at \p peerAddress did not answer, or has no recent data of the store.
+auto markUnfit(Role &role, const std::string &peerAddress, TimePoint now) -> void;
+/// Records that the entry at \p peerAddress answered with recent data of the store.
+auto markFit(Role &role, const std::string &peerAddress, TimePoint now) -> void;
 
+/// What this entry does in its current role.
 struct Assignment {
-    bool reads = false;                    ///< this entry reads the store for others
-    bool isFirst = false;                  ///< and is the first in rank to do so
-    std::vector<std::string> ask;          ///< peer addresses to ask, if it does not
-    std::vector<std::string> heartbeatsTo; ///< peer addresses of those that list the entries, also of unfit ones
+    bool readsStore = false;                     ///< this entry reads the store for others
+    bool isFirstReader = false;                  ///< this entry is the highest-ranked reader
+    std::vector<std::string> queryAddresses;     ///< peer addresses of the other readers, or of seeds if no reader is known
+    std::vector<std::string> heartbeatAddresses; ///< peer addresses of the entries that collect heartbeats, including unfit readers
 };
 
-auto assign(const Role &role, TimePoint now) -> Assignment;
+/// Derives the assignment of this entry from \p role.
+auto computeAssignment(const Role &role, TimePoint now) -> Assignment;
 
-/// Whether the store has to be asked who is registered: nobody else can tell.
+/// \return whether the registrations must be read from the store, since no other entry has answered
 auto needsRegistrations(const Role &role, TimePoint now) -> bool;
 
 } // namespace auburnspread::fleet
--- a/src/core/fleet/tests/hubs_tests.cpp
+++ b/src/core/fleet/tests/hubs_tests.cpp
@@ -17,7 +17,7 @@
     return Start + std::chrono::milliseconds(milliseconds);
 }
 
-/// Entries of five failure domains, those with a low number first in rank.
+/// Entries of five failure domains; a lower number ranks higher.
 auto makeFleet(int count) -> std::vector<EntryRecord>
 {
     std::vector<EntryRecord> entries;
@@ -44,37 +44,37 @@
 
 } // namespace
 
-TEST(HubTests, eachFailureDomainHasTwo)
+TEST(HubTests, eachFailureDomainHasTwoHubs)
 {
     const auto entries = makeFleet(60);
-    Hubs hubs;
+    HubSelection hubs;
     EXPECT_EQ(namesOf(chooseHubs(hubs, entries, entries[17], at(0))), (Names{ "entry-2", "entry-7" }));
     EXPECT_EQ(namesOf(hubsOfOtherDomains(entries, entries[2], 0)), (Names{ "entry-0", "entry-1", "entry-3", "entry-4" }));
     EXPECT_EQ(namesOf(hubsOfOtherDomains(entries, entries[7], 1)), (Names{ "entry-5", "entry-6", "entry-8", "entry-9" }));
 }
 
-/// What callers see: requests on engines that are full. Both hubs of a failure domain die in the same moment; the list of entries says
-/// so only seconds later. Half a second after the loss their entries tell the next two.
-TEST(HubTests, silentHubsAreReplacedWithinHalfASecond)
+/// Guards against requests that are sent to full engines after both hubs of a failure domain crash at once. The list of entries shows the
+/// loss only seconds later, but within half a second the entries report to the next two in rank.
+TEST(HubTests, unresponsiveHubsAreReplacedWithinHalfASecond)
 {
     const auto entries = makeFleet(60);
-    Hubs hubs;
+    HubSelection hubs;
     for (auto now = 0; now <= 1000; now += 50) {
         chooseHubs(hubs, entries, entries[17], at(now));
-        noteSum(hubs, "entry-2", at(now));
-        noteSum(hubs, "entry-7", at(now));
+        recordFleetReport(hubs, "entry-2", at(now));
+        recordFleetReport(hubs, "entry-7", at(now));
     }
     for (auto now = 1050; now <= 1400; now += 50) {
         chooseHubs(hubs, entries, entries[17], at(now));
     }
     EXPECT_EQ(namesOf(chooseHubs(hubs, entries, entries[17], at(1450))), (Names{ "entry-12", "entry-17" }));
-    noteSum(hubs, "entry-2", at(1500));
-    EXPECT_EQ(namesOf(chooseHubs(hubs, entries, entries[17], at(1500))), (Names{ "entry-2", "entry-12" })) << "it is back";
+    recordFleetReport(hubs, "entry-2", at(1500));
+    EXPECT_EQ(namesOf(chooseHubs(hubs, entries, entries[17], at(1500))), (Names{ "entry-2", "entry-12" })) << "a fleet report makes the hub eligible again";
 }
 
-TEST(HubTests, anEntryThatIsNotListedYetSumsUpForNobodyButItself)
+TEST(HubTests, anUnlistedEntryIsItsOwnOnlyHub)
 {
-    Hubs hubs;
+    HubSelection hubs;
     const EntryRecord self{ .name = "new", .failureDomain = "domain-9" };
     EXPECT_EQ(namesOf(chooseHubs(hubs, makeFleet(60), self, at(0))), Names{ "new" });
 }
--- a/src/core/fleet/tests/membership_tests.cpp
+++ b/src/core/fleet/tests/membership_tests.cpp
@@ -22,12 +22,12 @@
 
 auto beat(Membership &membership, const std::string &name, TimePoint now) -> bool
 {
-    return noteHeartbeat(membership, { .entry = makeEntry(name) }, now);
+    return applyHeartbeat(membership, { .entry = makeEntry(name) }, now);
 }
 
 } // namespace
 
-TEST(MembershipTests, entriesAreListedWhileTheyAreHeard)
+TEST(MembershipTests, entriesAreListedWhileTheirHeartbeatsArrive)
 {
     Membership membership;
     beginCollecting(membership, {}, at(0));
@@ -41,9 +41,9 @@
     EXPECT_EQ(listMembers(membership, at(2200)), std::vector<EntryRecord>{ makeEntry("b") });
 }
 
-/// What callers see: one address where there were three hundred. An entry that lists the others was cut off from all of them; when it
-/// is back it has heard only the first.
-TEST(MembershipTests, anEntryThatHeardNobodyForAWhileListsNobodyAtFirst)
+/// Guards against callers that get one address instead of three hundred. A reader that returns after a partition has received the
+/// heartbeat of only one entry at first.
+TEST(MembershipTests, aReaderPublishesNoListRightAfterAPartition)
 {
     Membership membership;
     beginCollecting(membership, { makeEntry("a"), makeEntry("b") }, at(0));
@@ -57,21 +57,21 @@
     EXPECT_EQ(listMembers(membership, at(6600))->size(), 2U);
 }
 
-/// What callers see: connections refused at an address that they were given. A leaving entry says so, and a heartbeat that it sent
-/// before arrives after that. Its next start is another incarnation, and is listed.
-TEST(MembershipTests, aLateHeartbeatDoesNotBringALeavingEntryBack)
+/// Guards against callers that are directed to an entry that refuses connections. A heartbeat that a departing entry sent earlier arrives
+/// after its announcement. The next start of the entry has another incarnation and is listed.
+TEST(MembershipTests, aDelayedHeartbeatDoesNotAddADepartedEntryAgain)
 {
     Membership membership;
     beginCollecting(membership, {}, at(0));
     beat(membership, "a", at(10));
-    EXPECT_TRUE(noteHeartbeat(membership, { .entry = makeEntry("a"), .isLeaving = true }, at(600)));
+    EXPECT_TRUE(applyHeartbeat(membership, { .entry = makeEntry("a"), .isLeaving = true }, at(600)));
     EXPECT_FALSE(beat(membership, "a", at(601)));
     EXPECT_TRUE(listMembers(membership, at(700))->empty());
     std::vector<EntryRecord> fromOthers = { makeEntry("a"), makeEntry("b") };
-    dropLeaving(membership, fromOthers);
-    EXPECT_EQ(fromOthers, std::vector<EntryRecord>{ makeEntry("b") }) << "a list from before";
+    removeDeparted(membership, fromOthers);
+    EXPECT_EQ(fromOthers, std::vector<EntryRecord>{ makeEntry("b") }) << "the list is older than the departure";
     auto next = makeEntry("a");
     next.incarnation = 2;
-    EXPECT_TRUE(noteHeartbeat(membership, { .entry = next }, at(3000)));
+    EXPECT_TRUE(applyHeartbeat(membership, { .entry = next }, at(3000)));
     EXPECT_EQ(listMembers(membership, at(3600)), std::vector<EntryRecord>{ next });
 }
--- a/src/core/fleet/tests/readers_tests.cpp
+++ b/src/core/fleet/tests/readers_tests.cpp
@@ -9,8 +9,8 @@
 using namespace auburnspread;
 using namespace auburnspread::fleet;
 
-/// What operators see: the store is called by every VM. All entries that know the same list choose the same few readers, and
-/// when one leaves only that one is replaced.
+/// Guards against store calls from every VM. All entries with the same list choose the same few readers, and when one leaves, only that
+/// one is replaced.
 TEST(ReaderTests, entriesAgreeOnAFewReaders)
 {
     constexpr auto Entries = 66;
@@ -30,9 +30,9 @@
     EXPECT_EQ(chooseReaders({ { .name = "only" } }), std::vector<EntryRecord>{ { .name = "only" } });
 }
 
-/// What callers see: a third of the short answers stutter in a large fleet. The sums of load are lost on the link of a small
-/// VM, so entries deal the engines in different ways. Strong VMs read and sum up.
-TEST(ReaderTests, strongVmsComeFirst)
+/// Guards against pauses in a third of the short answers of a large fleet: load sums are lost on the saturated link of a small VM, and the
+/// entries divide the engines differently. Strong VMs therefore become readers and hubs.
+TEST(ReaderTests, strongVmsRankFirst)
 {
     constexpr auto Entries = 60;
     std::vector<EntryRecord> entries;
@@ -45,9 +45,9 @@
     }
 }
 
-/// What callers see: after all entries have restarted, either nobody asks an engine for its cache or each engine is asked by a
-/// hundred entries at once. Whichever of the entries know each other, an engine is asked by two of them.
-TEST(EngineCacheTests, eachEngineIsAskedByAFewEntries)
+/// Guards against two faults after a restart of all entries: no entry queries an engine for its cache, or a hundred entries query each
+/// engine at once. Among any set of entries that know each other, two query each engine.
+TEST(EngineCacheTests, eachEngineIsQueriedByAFewEntries)
 {
     constexpr auto Entries = 88;
     std::vector<std::string> entries;
@@ -57,8 +57,8 @@
     }
     for (auto engine = 0; engine < 60; ++engine) {
         const auto server = "engine-" + std::to_string(engine);
-        const auto asks = [&](const std::string &entry) { return asksCacheOf(server, entries, entry); };
-        EXPECT_EQ(std::count_if(entries.begin(), entries.end(), asks), static_cast<std::ptrdiff_t>(AskersOfEngine)) << server;
+        const auto asks = [&](const std::string &entry) { return queriesCacheOf(server, entries, entry); };
+        EXPECT_EQ(std::count_if(entries.begin(), entries.end(), asks), static_cast<std::ptrdiff_t>(QueriersPerEngine)) << server;
     }
-    EXPECT_TRUE(asksCacheOf("engine-1", { "entry-1" }, "entry-1"));
+    EXPECT_TRUE(queriesCacheOf("engine-1", { "entry-1" }, "entry-1"));
 }
--- a/src/core/fleet/tests/role_tests.cpp
+++ b/src/core/fleet/tests/role_tests.cpp
@@ -44,82 +44,82 @@
 
 } // namespace
 
-TEST(RoleTests, theFirstInRankReadAndTheOthersAskThem)
+TEST(RoleTests, theHighestRankedReadTheStoreAndTheOthersQueryThem)
 {
-    EXPECT_TRUE(assign(makeMember(0), Start).reads);
-    EXPECT_TRUE(assign(makeMember(1), Start).reads);
-    const auto third = assign(makeMember(2), Start);
-    EXPECT_FALSE(third.reads);
-    EXPECT_EQ(third.ask, (Addresses{ "entry-0:1", "entry-1:1" }));
-    EXPECT_EQ(third.heartbeatsTo, third.ask);
+    EXPECT_TRUE(computeAssignment(makeMember(0), Start).readsStore);
+    EXPECT_TRUE(computeAssignment(makeMember(1), Start).readsStore);
+    const auto third = computeAssignment(makeMember(2), Start);
+    EXPECT_FALSE(third.readsStore);
+    EXPECT_EQ(third.queryAddresses, (Addresses{ "entry-0:1", "entry-1:1" }));
+    EXPECT_EQ(third.heartbeatAddresses, third.queryAddresses);
 }
 
-/// What callers see: keys refused everywhere. The first in rank are cut from the store, answer, and confirm nothing. The next takes over;
-/// the unfit ones still hear the heartbeats, and are tried again.
+/// Guards against keys that all entries refuse: the highest-ranked readers are partitioned from the store, and answer without a
+/// confirmation. The next in rank takes over. The unfit readers still receive heartbeats and are tried again.
 TEST(RoleTests, anUnfitReaderIsReplacedForSomeSeconds)
 {
     auto role = makeMember(2);
-    noteUnfit(role, "entry-0:1", at(0));
-    EXPECT_TRUE(assign(role, at(1)).reads);
-    EXPECT_EQ(assign(role, at(1)).heartbeatsTo, (Addresses{ "entry-1:1", "entry-0:1" }));
-    EXPECT_FALSE(assign(role, at(3100)).reads);
-    noteUnfit(role, "entry-1:1", at(3200));
-    EXPECT_TRUE(assign(role, at(3200)).reads);
-    noteFit(role, "entry-1:1", at(3300));
-    EXPECT_FALSE(assign(role, at(3300)).reads);
+    markUnfit(role, "entry-0:1", at(0));
+    EXPECT_TRUE(computeAssignment(role, at(1)).readsStore);
+    EXPECT_EQ(computeAssignment(role, at(1)).heartbeatAddresses, (Addresses{ "entry-1:1", "entry-0:1" }));
+    EXPECT_FALSE(computeAssignment(role, at(3100)).readsStore);
+    markUnfit(role, "entry-1:1", at(3200));
+    EXPECT_TRUE(computeAssignment(role, at(3200)).readsStore);
+    markFit(role, "entry-1:1", at(3300));
+    EXPECT_FALSE(computeAssignment(role, at(3300)).readsStore);
 }
 
-/// The store is away: each entry finds all others unfit in turn. Somebody has to notice that it is back.
-TEST(RoleTests, whereNobodyIsFitTheFirstInRankReadOn)
+/// During an outage of the store, each entry marks all others as unfit in turn. Some entry must keep reading to detect its end.
+TEST(RoleTests, theHighestRankedKeepReadingIfNoEntryIsFit)
 {
     auto first = makeMember(0, 3);
     auto last = makeMember(2, 3);
     for (auto *role : { &first, &last }) {
         for (const auto &entry : makeEntries(3)) {
-            noteUnfit(*role, entry.peerAddress, at(0));
+            markUnfit(*role, entry.peerAddress, at(0));
         }
     }
-    EXPECT_TRUE(assign(first, at(10)).reads);
-    EXPECT_FALSE(assign(last, at(10)).reads);
+    EXPECT_TRUE(computeAssignment(first, at(10)).readsStore);
+    EXPECT_FALSE(computeAssignment(last, at(10)).readsStore);
 }
 
-/// Hundreds of entries start at once. Those that were named to all ask each other and read the store first; the rest ask them, and
-/// ask the store who is registered only if none of them answers, each at a time of its own.
-TEST(RoleTests, anEntryThatStartsAsksTheSeedsBeforeTheStore)
+/// Hundreds of entries start at once. The seeds query each other and read the store first. The others query the seeds, and read the
+/// registrations from the store only if no seed answers, each after its own delay.
+TEST(RoleTests, aStartingEntryQueriesTheSeedsBeforeTheStore)
 {
     const Addresses seeds = { "entry-0:1", "entry-1:1" };
     const auto seed = makeRole({ .self = makeEntry(0), .seeds = seeds }, Start);
-    EXPECT_EQ(assign(seed, at(0)).ask, Addresses{ "entry-1:1" });
-    EXPECT_FALSE(assign(seed, at(50)).reads);
-    EXPECT_TRUE(assign(seed, at(100)).reads);
+    EXPECT_EQ(computeAssignment(seed, at(0)).queryAddresses, Addresses{ "entry-1:1" });
+    EXPECT_FALSE(computeAssignment(seed, at(50)).readsStore);
+    EXPECT_TRUE(computeAssignment(seed, at(100)).readsStore);
 
     auto other = makeRole({ .self = makeEntry(7), .seeds = seeds }, Start);
-    EXPECT_EQ(assign(other, at(0)).ask, seeds);
-    EXPECT_EQ(assign(other, at(0)).heartbeatsTo, seeds);
+    EXPECT_EQ(computeAssignment(other, at(0)).queryAddresses, seeds);
+    EXPECT_EQ(computeAssignment(other, at(0)).heartbeatAddresses, seeds);
     EXPECT_FALSE(needsRegistrations(other, at(600)));
     EXPECT_TRUE(needsRegistrations(other, at(1700)));
-    EXPECT_FALSE(assign(other, at(1700)).reads) << "another may have been first";
-    other.registrationsAt = at(1700);
-    EXPECT_TRUE(assign(other, at(1700)).reads);
+    EXPECT_FALSE(computeAssignment(other, at(1700)).readsStore) << "another entry may have registered first";
+    other.registrationsReadAt = at(1700);
+    EXPECT_TRUE(computeAssignment(other, at(1700)).readsStore);
     other.registered = { makeEntry(3), makeEntry(4) };
-    EXPECT_EQ(assign(other, at(1710)).ask, (Addresses{ "entry-3:1", "entry-4:1" }));
+    EXPECT_EQ(computeAssignment(other, at(1710)).queryAddresses, (Addresses{ "entry-3:1", "entry-4:1" }));
 }
 
-/// What callers see: requests cut at an entry that has left. The first in rank restarts with a list from before, in which somebody stands
-/// who is leaving; it asks before it reads for others.
-TEST(RoleTests, anEntryWithARememberedListAsksFirst)
+/// Guards against requests that are aborted at a departed entry. The highest-ranked entry restarts with a saved list that still contains an
+/// entry that is leaving; it queries the other readers before it reads the store.
+TEST(RoleTests, anEntryWithAStaleListQueriesOthersFirst)
 {
     auto role = makeMember(0);
-    role.entriesAreOld = true;
-    EXPECT_FALSE(assign(role, at(20)).reads);
-    EXPECT_EQ(assign(role, at(20)).ask, (Addresses{ "entry-1:1", "entry-2:1" }));
-    EXPECT_TRUE(assign(role, at(50)).reads);
+    role.entriesAreStale = true;
+    EXPECT_FALSE(computeAssignment(role, at(20)).readsStore);
+    EXPECT_EQ(computeAssignment(role, at(20)).queryAddresses, (Addresses{ "entry-1:1", "entry-2:1" }));
+    EXPECT_TRUE(computeAssignment(role, at(50)).readsStore);
 }
 
-TEST(RoleTests, aLeavingEntryReadsForNobody)
+TEST(RoleTests, aLeavingEntryDoesNotReadForOthers)
 {
     auto role = makeMember(0);
     role.isLeaving = true;
-    EXPECT_FALSE(assign(role, Start).reads);
-    EXPECT_EQ(assign(role, Start).ask, (Addresses{ "entry-1:1", "entry-2:1" }));
+    EXPECT_FALSE(computeAssignment(role, Start).readsStore);
+    EXPECT_EQ(computeAssignment(role, Start).queryAddresses, (Addresses{ "entry-1:1", "entry-2:1" }));
 }
--- a/src/core/passthrough/tests/replay.cpp
+++ b/src/core/passthrough/tests/replay.cpp
@@ -543,7 +543,7 @@
         const auto &self = entries_.at(entry);
         const auto &hubs = chosenHubs_[entry];
         if (received.scope == ReportScope::Fleet) {
-            fleet::noteSum(hubs_[entry], received.entry, now_);
+            fleet::recordFleetReport(hubs_[entry], received.entry, now_);
         }
         const auto isHub = std::find(hubs.begin(), hubs.end(), self) != hubs.end();
         const auto isForHubs = received.scope == ReportScope::FailureDomain || (received.scope == ReportScope::Entry && !isHub);
@@ -569,7 +569,7 @@
     std::vector<CallerRequest> requests_;
     std::map<RequestId, std::size_t> requestIndices_;
     std::vector<fleet::EntryRecord> entries_;
-    std::map<std::size_t, fleet::Hubs> hubs_; ///< hub selection state of each entry
+    std::map<std::size_t, fleet::HubSelection> hubs_; ///< hub selection state of each entry
     std::map<std::size_t, std::vector<fleet::EntryRecord>> chosenHubs_;
     std::map<std::size_t, TimePoint> reportedAt_;
     std::map<std::size_t, TimePoint> earlyReportAt_; ///< time of the next early report, which a dispatched request has triggered
--- a/src/gateway/cachereader.cpp
+++ b/src/gateway/cachereader.cpp
@@ -22,7 +22,7 @@
         return;
     }
     for (const auto &server : servers) {
-        if (fleet::asksCacheOf(server.id, entries, self)) {
+        if (fleet::queriesCacheOf(server.id, entries, self)) {
             ask(server);
         }
     }
--- a/src/gateway/directoryfollower.cpp
+++ b/src/gateway/directoryfollower.cpp
@@ -210,7 +210,7 @@
 /// it consider the rest dead. Its list is outdated by then, so an old list is not applied.
 auto DirectoryFollower::applyEntries(const DirectoryAnswer &answer, TimePoint requestedAt) -> void
 {
-    if (!answer.entriesAge || *answer.entriesAge > fleet::MemberAge) {
+    if (!answer.entriesAge || *answer.entriesAge > fleet::MemberTimeout) {
         return;
     }
     const auto asOf = requestedAt - *answer.entriesAge;
--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -162,7 +162,7 @@
 auto Fleet::otherAddresses() const -> std::vector<std::string>
 {
     std::vector<std::string> addresses;
-    if (role_.entriesAreOld && now() - role_.startedAt < SnapshotAddressHoldback) {
+    if (role_.entriesAreStale && now() - role_.startedAt < SnapshotAddressHoldback) {
         return addresses;
     }
     for (const auto &entry : otherEntries()) {
@@ -341,8 +341,8 @@
 
 auto Fleet::handleEntries(std::vector<fleet::EntryRecord> alive, TimePoint asOf) -> void
 {
-    fleet::dropLeaving(membership_, alive);
-    role_.entriesAreOld = now() - asOf > fleet::MemberAge;
+    fleet::removeDeparted(membership_, alive);
+    role_.entriesAreStale = now() - asOf > fleet::MemberTimeout;
     if (!gateway::applyEntries(known_, alive, asOf)) {
         return;
     }
@@ -357,7 +357,7 @@
 auto Fleet::handleRegistrations(const std::vector<fleet::EntryRecord> &registered) -> void
 {
     role_.registered = registered;
-    role_.registrationsAt = now();
+    role_.registrationsReadAt = now();
     updateRole();
 }
 
@@ -378,7 +378,7 @@
 
 auto Fleet::handleReaderCheck(const std::string &peer, bool isHealthy) -> void
 {
-    isHealthy ? fleet::noteFit(role_, peer, now()) : fleet::noteUnfit(role_, peer, now());
+    isHealthy ? fleet::markFit(role_, peer, now()) : fleet::markUnfit(role_, peer, now());
     updateRole();
 }
 
@@ -387,26 +387,26 @@
 {
     const auto at = now();
     checkOwnStoreAccess(at);
-    const auto reads = std::exchange(assignment_, fleet::assign(role_, at)).reads;
-    if (assignment_.reads != reads) {
-        accounting_.roleChanged(assignment_.reads, assignment_.ask.size() + (assignment_.reads ? 1 : 0));
+    const auto reads = std::exchange(assignment_, fleet::computeAssignment(role_, at)).readsStore;
+    if (assignment_.readsStore != reads) {
+        accounting_.roleChanged(assignment_.readsStore, assignment_.queryAddresses.size() + (assignment_.readsStore ? 1 : 0));
     }
-    if (assignment_.reads && !reads) {
+    if (assignment_.readsStore && !reads) {
         readerSince_ = at;
-        fleet::beginCollecting(membership_, role_.entriesAreOld ? std::vector<fleet::EntryRecord>() : otherEntries(), at);
+        fleet::beginCollecting(membership_, role_.entriesAreStale ? std::vector<fleet::EntryRecord>() : otherEntries(), at);
     }
-    if (assignment_.reads && !reads) {
+    if (assignment_.readsStore && !reads) {
         directory_.adoptServers(known_);
     }
-    directory_.setReadsForPeers(assignment_.reads);
-    if (assignment_.reads && isServing_) {
+    directory_.setReadsForPeers(assignment_.readsStore);
+    if (assignment_.readsStore && isServing_) {
         directory_.registerSelf();
     }
-    if (assignment_.reads) {
+    if (assignment_.readsStore) {
         lastReaderAt_ = at;
     }
     duties_.setEligible(isEligibleLeader(at));
-    follower_.follow(assignment_.reads ? std::vector<std::string>() : assignment_.ask);
+    follower_.follow(assignment_.readsStore ? std::vector<std::string>() : assignment_.queryAddresses);
     publishEntries(at);
     readStoreIfIsolated(at);
     readCaches();
@@ -416,7 +416,7 @@
 /// A leader therefore stays eligible for a grace period after another entry has taken over reading.
 auto Fleet::isEligibleLeader(TimePoint now) const -> bool
 {
-    const auto isReader = assignment_.reads || (duties_.leads() && now - lastReaderAt_ < LeaderGracePeriod);
+    const auto isReader = assignment_.readsStore || (duties_.leads() && now - lastReaderAt_ < LeaderGracePeriod);
     return isReader && isServing_ && !role_.isLeaving;
 }
 
@@ -424,21 +424,21 @@
 /// can reach the store.
 auto Fleet::checkOwnStoreAccess(TimePoint now) -> void
 {
-    if (!assignment_.reads) {
+    if (!assignment_.readsStore) {
         return;
     }
     const auto &self = self_.peerAddress;
     const auto confirmedAt = std::max(readerSince_, known_.confirmedAt.value_or(readerSince_));
     if (now - confirmedAt > MaxOwnConfirmationAge) {
-        fleet::noteUnfit(role_, self, now);
+        fleet::markUnfit(role_, self, now);
     } else if (known_.confirmedAt) {
-        fleet::noteFit(role_, self, now);
+        fleet::markFit(role_, self, now);
     }
 }
 
 auto Fleet::readStoreIfIsolated(TimePoint now) -> void
 {
-    if (assignment_.reads) {
+    if (assignment_.readsStore) {
         return;
     }
     if (fleet::needsRegistrations(role_, now)) {
@@ -460,7 +460,7 @@
 auto Fleet::publishEntries(TimePoint now) -> void
 {
     fleet::expireMembers(membership_, now);
-    if (!assignment_.reads || now - entriesPublishedAt_ < PublishInterval) {
+    if (!assignment_.readsStore || now - entriesPublishedAt_ < PublishInterval) {
         return;
     }
     auto alive = fleet::listMembers(membership_, now);
@@ -479,7 +479,7 @@
 
 auto Fleet::saveEntriesSnapshot(TimePoint now) -> void
 {
-    if (assignment_.isFirst && savedSnapshotTag_ != known_.tags.entries && now - snapshotSavedAt_ >= SnapshotInterval) {
+    if (assignment_.isFirstReader && savedSnapshotTag_ != known_.tags.entries && now - snapshotSavedAt_ >= SnapshotInterval) {
         savedSnapshotTag_ = known_.tags.entries;
         snapshotSavedAt_ = now;
         directory_.saveEntriesSnapshot(encodeList(known_.packedEntries));
@@ -489,16 +489,16 @@
 auto Fleet::sendHeartbeat() -> void
 {
     if (isServing_) {
-        peers_.sendTo(assignment_.heartbeatsTo, fleet::Heartbeat{ .entry = self_, .isLeaving = role_.isLeaving });
+        peers_.sendTo(assignment_.heartbeatAddresses, fleet::Heartbeat{ .entry = self_, .isLeaving = role_.isLeaving });
     }
     if (const auto usage = duties_.makeReport()) {
-        peers_.sendTo(assignment_.heartbeatsTo, *usage);
+        peers_.sendTo(assignment_.heartbeatAddresses, *usage);
     }
 }
 
 auto Fleet::handleHeartbeat(const fleet::Heartbeat &heartbeat) -> void
 {
-    fleet::noteHeartbeat(membership_, heartbeat, now());
+    fleet::applyHeartbeat(membership_, heartbeat, now());
     if (heartbeat.isLeaving) {
         handleEntries(known_.entries, known_.entriesAt.value_or(TimePoint()));
     }
--- a/src/gateway/loadreports.cpp
+++ b/src/gateway/loadreports.cpp
@@ -53,7 +53,7 @@
 auto LoadReports::handleReport(const passthrough::PeerReported &report) -> void
 {
     if (report.scope == passthrough::ReportScope::Fleet) {
-        fleet::noteSum(hubs_, report.entry, now());
+        fleet::recordFleetReport(hubs_, report.entry, now());
     }
     relay(report);
 }
--- a/src/gateway/loadreports.h
+++ b/src/gateway/loadreports.h
@@ -44,7 +44,7 @@
     const DirectoryState &known_;
     fleet::EntryRecord self_;
 
-    fleet::Hubs hubs_;
+    fleet::HubSelection hubs_;
     std::vector<std::string> hubAddresses_; ///< peer addresses of the hubs other than this entry
     bool isHub_ = false;
     bool isFirstHub_ = false; ///< this entry has the first rank among the hubs
