--- a/src/core/leadership/leadership.cpp
+++ b/src/core/leadership/leadership.cpp
@@ -12,15 +12,16 @@
 namespace
 {
 
-/// A leader stops acting this part of the lease's time before its end: what it has just sent arrives by then.
-constexpr double SafetyPart = 0.2;
-/// Renewals within the time of a lease, so that one lost call does not end a term.
+/// A leader stops acting this share of the lease's lifetime before its end, so that messages in transit arrive before the lease ends.
+constexpr double LeaseSafetyShare = 0.2;
+/// Renewals within the lifetime of a lease, so that one lost call does not end a term.
 constexpr int RenewalsPerLease = 3;
+/// Retries of a failed renewal within the lifetime of a lease.
 constexpr int RetriesPerLease = 8;
-/// After a call that failed.
-constexpr Duration FailurePause = std::chrono::milliseconds(500);
-/// A call that has no answer by then will get none.
-constexpr Duration CallPatience = std::chrono::seconds(15);
+/// Delay after a failed call, before the claim is read again.
+constexpr Duration RetryDelay = std::chrono::milliseconds(500);
+/// A call without an answer for this long is cancelled.
+constexpr Duration CallTimeout = std::chrono::seconds(15);
 
 constexpr auto TermEnds = std::to_array<NamedValue<TermEnd>>({
     { TermEnd::Leaving, "leaving" },
@@ -28,6 +29,7 @@
     { TermEnd::TokenRefused, "token-refused" },
 });
 
+/// Applies one event to the state of the election.
 class Stepper
 {
 public:
@@ -44,7 +46,7 @@
             return;
         }
         if (event.isEligible) {
-            goOn();
+            readIfDue();
             return;
         }
         stop(TermEnd::Leaving);
@@ -55,34 +57,34 @@
         if (!acceptAnswer(state_.pending, event.call)) {
             return;
         }
-        state_.watchedFrom = std::max(state_.watchedFrom, event.storeRevision);
+        state_.watchRevision = std::max(state_.watchRevision, event.storeRevision);
         if (!event.claim) {
-            // a write whose answer was lost may still be executed under the lease; the same claim is written again then
-            state_.lease != 0 && now_ < leaseSafeUntil() ? write() : takeLease();
+            // a write whose answer was lost may still be executed under this lease, so the same claim is written again
+            state_.lease != 0 && now_ < leaseSafeUntil() ? writeClaim() : acquireLease();
         } else if (state_.lease != 0 && *event.claim == ownClaim()) {
-            lead(event.claimRevision);
+            beginTerm(event.claimRevision);
         } else {
-            dropLease();
-            watch();
+            releaseLease();
+            watchClaim();
         }
     }
 
-    auto operator()(const LeaseTaken &event) -> void
+    auto operator()(const LeaseAcquired &event) -> void
     {
         if (!acceptAnswer(state_.pending, event.call)) {
             return;
         }
         state_.lease = event.lease;
         state_.leaseLifetime = event.lifetime;
-        state_.leaseUntil = state_.askedAt + event.lifetime;
+        state_.leaseExpiresAt = state_.callStartedAt + event.lifetime;
         state_.attempts += 1;
-        write();
+        writeClaim();
     }
 
     auto operator()(const ClaimWritten &event) -> void
     {
         if (acceptAnswer(state_.pending, event.call)) {
-            lead(event.revision);
+            beginTerm(event.revision);
         }
     }
 
@@ -91,7 +93,7 @@
         if (!acceptAnswer(state_.pending, event.call)) {
             return;
         }
-        state_.leaseUntil = state_.askedAt + state_.leaseLifetime;
+        state_.leaseExpiresAt = state_.callStartedAt + state_.leaseLifetime;
         state_.renewAt = now_ + state_.leaseLifetime / RenewalsPerLease;
     }
 
@@ -102,13 +104,13 @@
         }
         switch (state_.phase) {
         case Phase::Leading:
-            event.failure == CallFailure::Lost ? stop(TermEnd::LeaseEnded) : renewLater();
+            event.failure == CallFailure::Lost ? stop(TermEnd::LeaseEnded) : scheduleRenewalRetry();
             break;
         case Phase::Writing:
-            read(); // the write may have been executed, or another entry was first
+            readClaim(); // the write may have been executed, or another entry wrote its claim first
             break;
         default:
-            idle(now_ + FailurePause);
+            enterIdle(now_ + RetryDelay);
             break;
         }
     }
@@ -123,20 +125,20 @@
     auto operator()(const Tick & /*event*/) -> void
     {
         if (state_.phase == Phase::Leading) {
-            tickLeading();
-        } else if (isCallInFlight(state_.pending) && now_ - state_.askedAt > CallPatience) {
+            renewOrEndTerm();
+        } else if (isCallInFlight(state_.pending) && now_ - state_.callStartedAt > CallTimeout) {
             cancelCall(state_.pending);
-            idle(now_);
+            enterIdle(now_);
         }
         if (state_.phase == Phase::Idle && state_.isEligible && now_ >= state_.idleUntil) {
-            goOn();
+            readIfDue();
         }
     }
 
 private:
-    auto await() -> std::uint64_t
+    auto startCall() -> std::uint64_t
     {
-        state_.askedAt = now_;
+        state_.callStartedAt = now_;
         return beginCall(state_.pending);
     }
 
@@ -147,72 +149,72 @@
 
     [[nodiscard]] auto leaseSafeUntil() const -> TimePoint
     {
-        return state_.leaseUntil - scaled(state_.leaseLifetime, SafetyPart);
+        return state_.leaseExpiresAt - scaled(state_.leaseLifetime, LeaseSafetyShare);
     }
 
-    auto goOn() -> void
+    auto readIfDue() -> void
     {
         if (state_.phase == Phase::Idle && now_ >= state_.idleUntil) {
-            read();
+            readClaim();
         }
     }
 
-    auto idle(TimePoint until) -> void
+    auto enterIdle(TimePoint until) -> void
     {
-        dropLease();
+        releaseLease();
         state_.phase = Phase::Idle;
         state_.idleUntil = until;
     }
 
-    auto read() -> void
+    auto readClaim() -> void
     {
         state_.phase = Phase::Reading;
-        actions_.emplace_back(ReadClaim{ .call = await() });
+        actions_.emplace_back(ReadClaim{ .call = startCall() });
     }
 
-    auto watch() -> void
+    auto watchClaim() -> void
     {
         state_.phase = Phase::Watching;
-        actions_.emplace_back(WatchClaim{ .call = await(), .revision = state_.watchedFrom });
+        actions_.emplace_back(WatchClaim{ .call = startCall(), .revision = state_.watchRevision });
     }
 
-    auto takeLease() -> void
+    auto acquireLease() -> void
     {
-        dropLease();
-        state_.phase = Phase::TakingLease;
-        actions_.emplace_back(TakeLease{ .call = await(), .lifetime = state_.options.lifetime });
+        releaseLease();
+        state_.phase = Phase::AcquiringLease;
+        actions_.emplace_back(AcquireLease{ .call = startCall(), .lifetime = state_.options.lifetime });
     }
 
-    auto write() -> void
+    auto writeClaim() -> void
     {
         state_.phase = Phase::Writing;
-        actions_.emplace_back(WriteClaim{ .call = await(), .claim = ownClaim(), .lease = state_.lease });
+        actions_.emplace_back(WriteClaim{ .call = startCall(), .claim = ownClaim(), .lease = state_.lease });
     }
 
-    auto lead(std::uint64_t revision) -> void
+    auto beginTerm(std::uint64_t revision) -> void
     {
         state_.phase = Phase::Leading;
         state_.token = revision;
         state_.renewAt = now_;
         actions_.emplace_back(TermBegun{ .token = revision });
-        tickLeading();
+        renewOrEndTerm();
     }
 
-    auto tickLeading() -> void
+    auto renewOrEndTerm() -> void
     {
         if (now_ >= leaseSafeUntil()) {
             stop(TermEnd::LeaseEnded);
         } else if (!isCallInFlight(state_.pending) && now_ >= state_.renewAt) {
-            actions_.emplace_back(RenewLease{ .call = await(), .lease = state_.lease });
+            actions_.emplace_back(RenewLease{ .call = startCall(), .lease = state_.lease });
         }
     }
 
-    auto renewLater() -> void
+    auto scheduleRenewalRetry() -> void
     {
         state_.renewAt = now_ + state_.leaseLifetime / RetriesPerLease;
     }
 
-    auto dropLease() -> void
+    auto releaseLease() -> void
     {
         if (const auto lease = std::exchange(state_.lease, 0); lease != 0) {
             actions_.emplace_back(EndLease{ .lease = lease });
@@ -224,9 +226,9 @@
         cancelCall(state_.pending);
         if (state_.phase == Phase::Leading) {
             actions_.emplace_back(TermEnded{ .token = std::exchange(state_.token, 0), .reason = reason });
-            idle(now_ + state_.options.rest);
+            enterIdle(now_ + state_.options.cooldown);
         } else {
-            idle(std::max(state_.idleUntil, now_));
+            enterIdle(std::max(state_.idleUntil, now_));
         }
     }
 
@@ -256,7 +258,7 @@
 
 auto currentToken(const State &state, TimePoint now) -> std::optional<std::uint64_t>
 {
-    const auto safeUntil = state.leaseUntil - scaled(state.leaseLifetime, SafetyPart);
+    const auto safeUntil = state.leaseExpiresAt - scaled(state.leaseLifetime, LeaseSafetyShare);
     const auto leads = state.phase == Phase::Leading && now < safeUntil;
     return leads ? std::optional(state.token) : std::nullopt;
 }
--- a/src/core/leadership/leadership.h
+++ b/src/core/leadership/leadership.h
@@ -1,13 +1,13 @@
 /// \file
-/// Which entry does what only one may do: `(state, event, now) -> actions`. Pure.
+/// Election of the leader, the one entry that performs the duties of the deployment: `(state, event, now) -> actions`. Has no side effects.
 ///
-/// The leader holds a key of the platform's store under a lease. The store's revision of that write is the leader's fencing token: each
-/// write has another one, and they only grow, so no two terms share one. \p now must come from a clock that counts the time in which the
-/// VM was suspended.
+/// The leader holds a key of the platform's store, its claim, under a lease. The store revision of that write is the leader's fencing
+/// token: revisions are unique and increase, so no two terms share a token. \p now must come from a clock that includes the time in which
+/// the VM is suspended.
 ///
-/// Failure: a leader is suspended, its lease ends, another entry leads, and the first one wakes and goes on. Symptom: two entries give
-/// orders by turns. A leader acts only while its lease surely runs, counted from before it was asked for, and after a term it rests
-/// for longer than anybody needs to notice the next one.
+/// A leader that is suspended until its lease has expired and another entry leads could continue when it resumes, so that two leaders act
+/// alternately. A leader therefore acts only while its lease is certain to be valid, counted from the start of the call that requested or
+/// renewed it. After a term, an entry waits for a cooldown that is longer than the others need to notice the next leader.
 
 #pragma once
 
@@ -24,20 +24,21 @@
 namespace auburnspread::leadership
 {
 
+/// Identity of this entry and the times of the election.
 struct Options {
     std::string entry;
-    std::uint64_t incarnation = 0; ///< differs between the starts of one entry
-    /// Of the lease: how long nobody leads after a leader was lost.
+    std::uint64_t incarnation = 0; ///< changes with each start of the entry
+    /// Lifetime of the lease, and thus the longest time without a leader after the loss of one.
     Duration lifetime = std::chrono::seconds(3);
-    /// After a term until this entry may lead again.
-    Duration rest = std::chrono::seconds(6);
+    /// Time after a term until this entry may lead again.
+    Duration cooldown = std::chrono::seconds(6);
 };
 
-/// What the key holds.
+/// The value of the leader's key.
 struct Claim {
     std::string entry;
     std::uint64_t incarnation = 0;
-    std::uint64_t attempt = 0; ///< of that incarnation to lead
+    std::uint64_t attempt = 0; ///< number of the incarnation's attempt to lead
 
     auto operator==(const Claim &) const -> bool = default;
 };
@@ -45,18 +46,18 @@
 /// \name Events
 /// @{
 
-/// Whether this entry may lead at all: it reads the store, serves, and is not leaving.
+/// States whether this entry may lead: it reads the store, serves requests, and is not leaving.
 struct EligibilityChanged {
     bool isEligible = false;
 };
-/// The key was read; an answer to ReadClaim or WatchClaim.
+/// The key was read; answers ReadClaim or WatchClaim.
 struct ClaimRead {
     std::uint64_t call = 0;
-    std::optional<Claim> claim;      ///< not set: nobody leads
-    std::uint64_t claimRevision = 0; ///< of the write
-    std::uint64_t storeRevision = 0; ///< where a watch goes on
+    std::optional<Claim> claim;      ///< not set if there is no leader
+    std::uint64_t claimRevision = 0; ///< store revision of the write of the claim
+    std::uint64_t storeRevision = 0; ///< store revision from which a watch continues
 };
-struct LeaseTaken {
+struct LeaseAcquired {
     std::uint64_t call = 0;
     std::uint64_t lease = 0;
     Duration lifetime{};
@@ -68,23 +69,23 @@
 struct LeaseRenewed {
     std::uint64_t call = 0;
 };
-/// How a call ended that did not succeed.
+/// How a call failed.
 enum class CallFailure {
-    Refused, ///< nothing was done
-    Lost,    ///< the lease, or the history of a watch, is gone, or the condition of a write did not hold
-    Unknown, ///< it may have been executed, or may be later
+    Refused, ///< the call was not executed
+    Lost,    ///< the lease or the history of a watch no longer exists, or the condition of a write was not met
+    Unknown, ///< the call may have been executed, or may still be
 };
 struct CallFailed {
     std::uint64_t call = 0;
     CallFailure failure = CallFailure::Unknown;
 };
-/// Somebody has acted with a greater token.
+/// The platform refused \p token, since another entry has acted with a higher one.
 struct TokenRefused {
     std::uint64_t token = 0;
 };
 struct Tick {
 };
-using Event = std::variant<EligibilityChanged, ClaimRead, LeaseTaken, ClaimWritten, LeaseRenewed, CallFailed, TokenRefused, Tick>;
+using Event = std::variant<EligibilityChanged, ClaimRead, LeaseAcquired, ClaimWritten, LeaseRenewed, CallFailed, TokenRefused, Tick>;
 /// @}
 
 /// \name Actions. Each call is answered by an event with its number, or by CallFailed.
@@ -92,12 +93,12 @@
 struct ReadClaim {
     std::uint64_t call = 0;
 };
-/// Answered when the key changes after \p revision, or after some seconds without a change.
+/// Watches the key. Answered when the key changes after \p revision, or after some seconds without a change.
 struct WatchClaim {
     std::uint64_t call = 0;
     std::uint64_t revision = 0;
 };
-struct TakeLease {
+struct AcquireLease {
     std::uint64_t call = 0;
     Duration lifetime{};
 };
@@ -111,7 +112,7 @@
     std::uint64_t call = 0;
     std::uint64_t lease = 0;
 };
-/// Its answer is not waited for.
+/// Ends the lease early. The answer is ignored.
 struct EndLease {
     std::uint64_t lease = 0;
 };
@@ -119,51 +120,54 @@
     std::uint64_t token = 0;
 };
 enum class TermEnd {
-    Leaving,      ///< the entry may not lead any more
-    LeaseEnded,   ///< it could not be renewed in time
-    TokenRefused, ///< another entry has led since
+    Leaving,      ///< the entry is no longer eligible
+    LeaseEnded,   ///< the lease could not be renewed in time
+    TokenRefused, ///< another entry has led since the term began
 };
 auto termEndName(TermEnd reason) -> std::string_view;
 struct TermEnded {
     std::uint64_t token = 0;
     TermEnd reason = TermEnd::LeaseEnded;
 };
-using Action = std::variant<ReadClaim, WatchClaim, TakeLease, WriteClaim, RenewLease, EndLease, TermBegun, TermEnded>;
+using Action = std::variant<ReadClaim, WatchClaim, AcquireLease, WriteClaim, RenewLease, EndLease, TermBegun, TermEnded>;
 using Actions = std::vector<Action>;
 /// @}
 
 enum class Phase {
-    Idle,    ///< not eligible, or resting
-    Reading, ///< who leads
+    Idle,    ///< not eligible, in the cooldown, or waiting for a retry
+    Reading, ///< reading the claim of the current leader
     Watching,
-    TakingLease,
+    AcquiringLease,
     Writing,
     Leading,
 };
 
+/// State of the election in this entry.
 struct State {
     Options options;
     bool isEligible = false;
     Phase phase = Phase::Idle;
-    TimePoint idleUntil; ///< while Idle
+    TimePoint idleUntil; ///< end of the cooldown or retry delay in Phase::Idle
 
     PendingCall pending;
-    TimePoint askedAt; ///< of the call under way
+    TimePoint callStartedAt; ///< start of the call in flight
     std::uint64_t attempts = 0;
-    std::uint64_t watchedFrom = 0; ///< revision of the store
+    std::uint64_t watchRevision = 0; ///< store revision from which the next watch continues
 
-    std::uint64_t lease = 0; ///< 0: none
+    std::uint64_t lease = 0; ///< id of the lease; 0 if the entry holds none
     Duration leaseLifetime{};
-    TimePoint leaseUntil; ///< surely runs until then
+    TimePoint leaseExpiresAt; ///< the lease is certain to be valid until then
     TimePoint renewAt;
-    std::uint64_t token = 0; ///< while leading
+    std::uint64_t token = 0; ///< fencing token in Phase::Leading
 };
 
 auto makeState(Options options) -> State;
 
+/// Applies \p event to \p state.
+/// \return the actions to perform
 auto step(State &state, const Event &event, TimePoint now) -> Actions;
 
-/// The token by which this entry may act at this moment; nothing: it does not lead.
+/// \return the fencing token with which this entry may act at \p now; nothing if it does not lead
 auto currentToken(const State &state, TimePoint now) -> std::optional<std::uint64_t>;
 
 } // namespace auburnspread::leadership
--- a/src/core/leadership/tests/dutyworld.cpp
+++ b/src/core/leadership/tests/dutyworld.cpp
@@ -23,13 +23,13 @@
 using namespace std::chrono_literals;
 
 constexpr TimePoint Start(1h);
-constexpr Duration Length = 60s;
+constexpr Duration RunDuration = 60s;
 constexpr Duration TickInterval = 100ms;
 constexpr Duration ClientTimeout = 600ms;
 constexpr Duration LeaseTime = 3s;
 constexpr std::size_t Entries = 3;
 
-/// The platform's store: two keys, leases, conditions.
+/// Model of the platform's store: two keys, leases and conditional writes.
 class Store
 {
 public:
@@ -45,11 +45,11 @@
                 ++lease;
                 continue;
             }
-            dropLease(lease->first);
+            deleteLeaderOf(lease->first);
             lease = leases_.erase(lease);
         }
     }
-    auto takeLease(TimePoint now, Duration lifetime) -> std::uint64_t
+    auto acquireLease(TimePoint now, Duration lifetime) -> std::uint64_t
     {
         leases_[++lastLease_] = now + lifetime;
         return lastLease_;
@@ -66,9 +66,9 @@
     auto end(std::uint64_t lease) -> void
     {
         leases_.erase(lease);
-        dropLease(lease);
+        deleteLeaderOf(lease);
     }
-    /// \return the revision of the write; 0: a condition did not hold, or the lease has ended
+    /// \return the revision of the write; 0 if a condition was not met or the lease has ended
     auto writeClaim(const Claim &claim, std::uint64_t lease) -> std::uint64_t
     {
         if (leader.revision != 0 || !leases_.contains(lease)) {
@@ -95,7 +95,7 @@
     usage::Record recorded;
 
 private:
-    auto dropLease(std::uint64_t lease) -> void
+    auto deleteLeaderOf(std::uint64_t lease) -> void
     {
         if (leader.revision != 0 && leader.lease == lease) {
             revision += 1;
@@ -107,16 +107,17 @@
     std::uint64_t lastLease_ = 0;
 };
 
+/// A usage report that the platform accepted.
 struct Accepted {
     std::size_t entry = 0;
     std::uint64_t token = 0;
     TimePoint at;
 };
 
-class World
+class Simulation
 {
 public:
-    explicit World(const RunOptions &options)
+    explicit Simulation(const RunOptions &options)
         : options_(options)
         , random_(options.seed)
     {
@@ -124,13 +125,13 @@
             entries_.push_back({});
             restart(i);
             scheduleTick(i);
-            scheduleTrouble(i);
+            scheduleFault(i);
         }
     }
 
     auto run() -> RunResult
     {
-        while (!queue_.empty() && queue_.top().at < Start + Length) {
+        while (!queue_.empty() && queue_.top().at < Start + RunDuration) {
             auto next = queue_.top();
             queue_.pop();
             now_ = next.at;
@@ -146,14 +147,14 @@
         std::unique_ptr<State> leadership;
         std::unique_ptr<usage::State> reporter;
         TimePoint pausedUntil;
-        TimePoint troubledAt; ///< paused or killed last: not in touch for a while
+        TimePoint lastFaultAt; ///< end of the last pause, or time of the last kill
     };
-    struct Planned {
+    struct ScheduledAction {
         TimePoint at;
         std::uint64_t order = 0;
         std::function<void()> action;
 
-        auto operator<(const Planned &other) const -> bool
+        auto operator<(const ScheduledAction &other) const -> bool
         {
             return std::pair(at, order) > std::pair(other.at, other.order);
         }
@@ -168,7 +169,7 @@
         queue_.push({ now_ + delay, ++lastOrder_, std::move(action) });
     }
 
-    /// Runs when the entry does; never if it has ended by then.
+    /// Schedules \p action for an incarnation of an entry: delayed while the entry is paused, dropped if it has been restarted.
     auto deliver(std::size_t number, std::uint64_t incarnation, Duration delay, std::function<void()> action) -> void
     {
         after(delay, [this, number, incarnation, action = std::move(action)]() {
@@ -188,9 +189,10 @@
     {
         auto &entry = entries_.at(number);
         entry.incarnation += 1;
-        const auto told = options_.mistake == Mistake::SameIncarnation ? 1 : entry.incarnation;
-        const auto rest = options_.mistake == Mistake::NoRest ? 0s : 2 * LeaseTime;
-        entry.leadership = std::make_unique<State>(makeState({ .entry = nameOf(number), .incarnation = told, .lifetime = LeaseTime, .rest = rest }));
+        const auto visibleIncarnation = options_.mistake == Mistake::SameIncarnation ? 1 : entry.incarnation;
+        const auto cooldown = options_.mistake == Mistake::NoCooldown ? 0s : 2 * LeaseTime;
+        entry.leadership
+            = std::make_unique<State>(makeState({ .entry = nameOf(number), .incarnation = visibleIncarnation, .lifetime = LeaseTime, .cooldown = cooldown }));
         entry.reporter = std::make_unique<usage::State>(usage::makeState({ .windowLength = 5s }));
         deliver(number, entry.incarnation, 10ms * static_cast<std::int64_t>(draw(50)), [this, number]() {
             apply(number, EligibilityChanged{ .isEligible = true });
@@ -217,7 +219,7 @@
         });
     }
 
-    /// Each entry has heard other parts of what was counted.
+    /// Each entry receives different counts, as if some reports had been lost.
     auto tick(std::size_t number, Entry &entry) -> void
     {
         apply(number, Tick{});
@@ -230,28 +232,28 @@
         apply(number, usage::Tick{ .time = trueTime(), .entries = { "counter" } });
     }
 
-    auto scheduleTrouble(std::size_t number) -> void
+    auto scheduleFault(std::size_t number) -> void
     {
         after(1s + 1ms * static_cast<std::int64_t>(draw(9000)), [this, number]() {
             auto &entry = entries_.at(number);
             switch (draw(4)) {
             case 0:
-                entry.troubledAt = now_;
+                entry.lastFaultAt = now_;
                 restart(number);
                 break;
             case 1:
                 entry.pausedUntil = now_ + 1ms * static_cast<std::int64_t>(draw(7000));
-                entry.troubledAt = entry.pausedUntil;
+                entry.lastFaultAt = entry.pausedUntil;
                 break;
             case 2:
                 apply(number, EligibilityChanged{ .isEligible = false });
                 deliver(number, entry.incarnation, 500ms, [this, number]() { apply(number, EligibilityChanged{ .isEligible = true }); });
                 break;
             default:
-                awayUntil_ = now_ + 1ms * static_cast<std::int64_t>(draw(5000));
+                platformDownUntil_ = now_ + 1ms * static_cast<std::int64_t>(draw(5000));
                 break;
             }
-            scheduleTrouble(number);
+            scheduleFault(number);
         });
     }
 
@@ -259,18 +261,19 @@
     {
         auto &entry = entries_.at(number);
         for (const auto &action : step(*entry.leadership, event, now_)) {
-            std::visit([this, number](const auto &each) { carryOut(number, each); }, action);
+            std::visit([this, number](const auto &each) { perform(number, each); }, action);
         }
     }
     auto apply(std::size_t number, const usage::Event &event) -> void
     {
         auto &entry = entries_.at(number);
         for (const auto &action : usage::step(*entry.reporter, event, now_)) {
-            std::visit([this, number](const auto &each) { carryOut(number, each); }, action);
+            std::visit([this, number](const auto &each) { perform(number, each); }, action);
         }
     }
 
-    /// The call reaches the other side, or not, or late; the answer comes back, or not. A caller that has no answer in time gives it up.
+    /// Simulates a call to the platform, which may be lost or executed late, and whose answer may be lost. \p onUnknown runs if no answer arrives
+    /// within ClientTimeout.
     auto call(std::size_t number, std::function<std::function<void()>()> execute, const std::function<void()> &onUnknown) -> void
     {
         const auto incarnation = entries_.at(number).incarnation;
@@ -280,11 +283,11 @@
                 onUnknown();
             }
         });
-        const auto fate = draw(20);
-        if (fate == 0 || now_ < awayUntil_) {
-            return; // lost on the way
+        const auto networkFault = draw(20);
+        if (networkFault == 0 || now_ < platformDownUntil_) {
+            return; // the request is lost
         }
-        const auto delay = fate == 1 ? 1ms * static_cast<std::int64_t>(draw(6000)) : 1ms * static_cast<std::int64_t>(1 + draw(30));
+        const auto delay = networkFault == 1 ? 1ms * static_cast<std::int64_t>(draw(6000)) : 1ms * static_cast<std::int64_t>(1 + draw(30));
         after(delay, [this, number, incarnation, answered, execute = std::move(execute), isAnswerLost = draw(20) == 0]() {
             auto answer = execute();
             if (isAnswerLost) {
@@ -313,30 +316,30 @@
         return [this, number, read]() { apply(number, read); };
     }
 
-    auto carryOut(std::size_t number, const ReadClaim &action) -> void
+    auto perform(std::size_t number, const ReadClaim &action) -> void
     {
         call(
             number,
             [this, number, id = action.call]() { return readClaim(number, id); },
             [this, number, id = action.call]() { fail(number, id, CallFailure::Unknown); });
     }
-    /// A watch that is asked again: the core goes on as after a reading.
-    auto carryOut(std::size_t number, const WatchClaim &action) -> void
+    /// Models a watch as a delayed read, which leads to the same event.
+    auto perform(std::size_t number, const WatchClaim &action) -> void
     {
         const auto incarnation = entries_.at(number).incarnation;
-        deliver(number, incarnation, 300ms, [this, number, id = action.call]() { carryOut(number, ReadClaim{ .call = id }); });
+        deliver(number, incarnation, 300ms, [this, number, id = action.call]() { perform(number, ReadClaim{ .call = id }); });
     }
-    auto carryOut(std::size_t number, const TakeLease &action) -> void
+    auto perform(std::size_t number, const AcquireLease &action) -> void
     {
         call(
             number,
             [this, number, action]() {
-                const auto lease = store_.takeLease(now_, action.lifetime);
-                return [this, number, action, lease]() { apply(number, LeaseTaken{ .call = action.call, .lease = lease, .lifetime = action.lifetime }); };
+                const auto lease = store_.acquireLease(now_, action.lifetime);
+                return [this, number, action, lease]() { apply(number, LeaseAcquired{ .call = action.call, .lease = lease, .lifetime = action.lifetime }); };
             },
             [this, number, id = action.call]() { fail(number, id, CallFailure::Unknown); });
     }
-    auto carryOut(std::size_t number, const WriteClaim &action) -> void
+    auto perform(std::size_t number, const WriteClaim &action) -> void
     {
         call(
             number,
@@ -348,7 +351,7 @@
             },
             [this, number, id = action.call]() { fail(number, id, CallFailure::Unknown); });
     }
-    auto carryOut(std::size_t number, const RenewLease &action) -> void
+    auto perform(std::size_t number, const RenewLease &action) -> void
     {
         call(
             number,
@@ -360,7 +363,7 @@
             },
             [this, number, id = action.call]() { fail(number, id, CallFailure::Unknown); });
     }
-    auto carryOut(std::size_t number, const EndLease &action) -> void
+    auto perform(std::size_t number, const EndLease &action) -> void
     {
         call(
             number,
@@ -370,19 +373,19 @@
             },
             []() {});
     }
-    auto carryOut(std::size_t number, const TermBegun &action) -> void
+    auto perform(std::size_t number, const TermBegun &action) -> void
     {
         result_.terms += 1;
         apply(number, usage::TermBegun{ .token = action.token });
     }
-    auto carryOut(std::size_t number, const TermEnded & /*action*/) -> void
+    auto perform(std::size_t number, const TermEnded & /*action*/) -> void
     {
         if (options_.mistake != Mistake::ActsAfterLease) {
             apply(number, usage::TermEnded{});
         }
     }
 
-    auto carryOut(std::size_t number, const usage::ReadRecord &action) -> void
+    auto perform(std::size_t number, const usage::ReadRecord &action) -> void
     {
         call(
             number,
@@ -392,9 +395,9 @@
             },
             [this, number, id = action.call]() { apply(number, usage::RecordCallFailed{ .call = id }); });
     }
-    auto carryOut(std::size_t number, const usage::WriteRecord &action) -> void
+    auto perform(std::size_t number, const usage::WriteRecord &action) -> void
     {
-        if (options_.mistake == Mistake::SendsBeforeFixed) {
+        if (options_.mistake == Mistake::SendsBeforeCommit) {
             for (const auto &[window, counts] : action.record) {
                 send(number, { .window = window, .counts = counts, .token = action.token });
             }
@@ -413,8 +416,8 @@
             },
             [this, number, id = action.call]() { apply(number, usage::RecordCallFailed{ .call = id }); });
     }
-    /// As the entry does: only while it holds a token at this moment.
-    auto carryOut(std::size_t number, const usage::Send &action) -> void
+    /// Sends only while the entry holds the token of the action, like the real entry.
+    auto perform(std::size_t number, const usage::Send &action) -> void
     {
         const auto token = currentToken(*entries_.at(number).leadership, now_);
         if (options_.mistake == Mistake::ActsAfterLease || token == action.token) {
@@ -423,7 +426,7 @@
             apply(number, usage::SendFailed{ .window = action.window });
         }
     }
-    auto carryOut(std::size_t /*number*/, const usage::LeftOut & /*action*/) -> void {}
+    auto perform(std::size_t /*number*/, const usage::LeftOut & /*action*/) -> void {}
 
     auto send(std::size_t number, const usage::Send &action) -> void
     {
@@ -443,13 +446,13 @@
             [this, number, action]() { apply(number, usage::SendFailed{ .window = action.window }); });
     }
 
-    /// The platform's interface, and what must hold there.
+    /// Models the platform's interface for usage reports and checks the invariants on them.
     auto accept(std::size_t number, const usage::Send &action) -> bool
     {
-        if (options_.checksTokens && action.token < greatestToken_) {
+        if (options_.checksTokens && action.token < highestToken_) {
             return false;
         }
-        greatestToken_ = std::max(greatestToken_, action.token);
+        highestToken_ = std::max(highestToken_, action.token);
         result_.accepted += 1;
         const auto [known, isNew] = counted_.try_emplace(action.window, action.counts);
         if (!isNew && known->second != action.counts) {
@@ -459,18 +462,18 @@
         if (!isFirst && holder->second != number) {
             result_.violations.emplace_back("one token, two holders");
         }
-        checkOrder({ .entry = number, .token = action.token, .at = now_ });
+        checkAlternation({ .entry = number, .token = action.token, .at = now_ });
         return true;
     }
 
-    /// Holders by turns A, B, A within the time of a lease, none of them in trouble.
-    auto checkOrder(const Accepted &last) -> void
+    /// Checks that two entries without recent faults do not act alternately (A, B, A) within the lifetime of a lease.
+    auto checkAlternation(const Accepted &last) -> void
     {
-        static constexpr Duration InTouch = 4s;
+        static constexpr Duration SettleTime = 4s;
         accepted_.push_back(last);
-        const auto isCalm = [this](std::size_t entry) { return now_ - entries_.at(entry).troubledAt > InTouch; };
+        const auto isStable = [this](std::size_t entry) { return now_ - entries_.at(entry).lastFaultAt > SettleTime; };
         auto other = std::find_if(accepted_.rbegin(), accepted_.rend(), [&last](const Accepted &each) { return each.entry != last.entry; });
-        if (other == accepted_.rend() || !isCalm(last.entry) || !isCalm(other->entry)) {
+        if (other == accepted_.rend() || !isStable(last.entry) || !isStable(other->entry)) {
             return;
         }
         const auto before = std::find_if(other, accepted_.rend(), [&last](const Accepted &each) { return each.entry == last.entry; });
@@ -482,12 +485,12 @@
     RunOptions options_;
     std::mt19937_64 random_;
     TimePoint now_ = Start;
-    TimePoint awayUntil_; ///< the platform does not answer
+    TimePoint platformDownUntil_; ///< the platform does not answer before then
     std::vector<Entry> entries_;
     Store store_;
-    std::priority_queue<Planned> queue_;
+    std::priority_queue<ScheduledAction> queue_;
     std::uint64_t lastOrder_ = 0;
-    std::uint64_t greatestToken_ = 0;
+    std::uint64_t highestToken_ = 0;
     std::map<usage::Window, usage::Counts> counted_;
     std::map<std::uint64_t, std::size_t> holders_;
     std::vector<Accepted> accepted_;
@@ -498,7 +501,7 @@
 
 auto run(const RunOptions &options) -> RunResult
 {
-    return World(options).run();
+    return Simulation(options).run();
 }
 
 } // namespace auburnspread::leadership::tests
--- a/src/core/leadership/tests/dutyworld.h
+++ b/src/core/leadership/tests/dutyworld.h
@@ -1,6 +1,7 @@
 /// \file
-/// Some entries that lead by turns, with a model of the platform's store and of its interface for duties, in virtual time. Calls are
-/// delayed, lost, executed late or without an answer; entries are paused, killed and restarted. The same seed gives the same run.
+/// Simulation in virtual time of several entries that compete for leadership, with a model of the platform's store and of its interface for
+/// duties. Calls are delayed, lost, executed late, or executed without an answer; entries are paused, killed and restarted. The run is
+/// determined by the seed.
 
 #pragma once
 
@@ -11,24 +12,25 @@
 namespace auburnspread::leadership::tests
 {
 
-/// Mistakes that the checks must find.
+/// Deliberate mistakes that the checked invariants must detect.
 enum class Mistake {
     None,
-    SameIncarnation,  ///< a start takes the claim of an earlier start for its own
-    ActsAfterLease,   ///< a leader goes on although its lease may have ended
-    SendsBeforeFixed, ///< counts are sent while the write that fixes them is under way
-    NoRest,           ///< an entry that led may lead again at once
+    SameIncarnation,   ///< an entry treats the claim of its previous incarnation as its own
+    ActsAfterLease,    ///< a leader continues although its lease may have ended
+    SendsBeforeCommit, ///< counts are sent while the write that commits them is in flight
+    NoCooldown,        ///< an entry may lead again immediately after a term
 };
 
 struct RunOptions {
     std::uint64_t seed = 1;
     Mistake mistake = Mistake::None;
-    bool checksTokens = true; ///< the platform refuses tokens that are smaller than one it saw
+    bool checksTokens = true; ///< the platform refuses tokens lower than one that it has seen
 };
 
+/// Violated invariants and totals of one run.
 struct RunResult {
     std::vector<std::string> violations;
-    std::size_t accepted = 0; ///< usage reports
+    std::size_t accepted = 0; ///< usage reports that the platform accepted
     std::size_t terms = 0;
 };
 
--- a/src/core/leadership/tests/interleaving_tests.cpp
+++ b/src/core/leadership/tests/interleaving_tests.cpp
@@ -12,12 +12,12 @@
 
 constexpr std::uint64_t Seeds = 200;
 
-/// Seeds whose run breaks what must hold.
-auto countBroken(Mistake mistake, const std::string &violation) -> std::size_t
+/// \return the number of seeds whose run with \p mistake has \p violation
+auto countViolatingRuns(Mistake mistake, const std::string &violation) -> std::size_t
 {
     std::size_t broken = 0;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
-        // a platform that refuses small tokens would hide some mistakes
+        // a platform that refuses outdated tokens would hide some mistakes
         const auto result = run({ .seed = seed, .mistake = mistake, .checksTokens = false });
         broken += std::count(result.violations.begin(), result.violations.end(), violation) > 0 ? 1 : 0;
     }
@@ -26,13 +26,13 @@
 
 } // namespace
 
-RC_GTEST_PROP(DutyInterleavingTests, noInterleavingBreaksWhatMustHold, (std::uint32_t seed))
+RC_GTEST_PROP(DutyInterleavingTests, noInterleavingViolatesAnInvariant, (std::uint32_t seed))
 {
     const auto result = run({ .seed = seed });
     RC_ASSERT(result.violations == std::vector<std::string>());
 }
 
-TEST(DutyInterleavingTests, theseSeedsBreakNothing)
+TEST(DutyInterleavingTests, fixedSeedsViolateNoInvariant)
 {
     std::size_t accepted = 0;
     std::size_t terms = 0;
@@ -42,31 +42,31 @@
         accepted += result.accepted;
         terms += result.terms;
     }
-    EXPECT_GT(accepted, 4 * Seeds) << "the runs must show something";
+    EXPECT_GT(accepted, 4 * Seeds) << "the runs must contain enough accepted reports to be meaningful";
     EXPECT_GT(terms, 3 * Seeds);
 }
 
-/// \name Each of these mistakes is found by the checks above
+/// \name Tests that the invariants detect each mistake
 /// @{
-TEST(DutyInterleavingTests, aClaimOfAnEarlierStartThatIsTakenForOnesOwnIsFound)
+TEST(DutyInterleavingTests, treatingAClaimOfAnEarlierIncarnationAsOwnIsDetected)
 {
-    EXPECT_GT(countBroken(Mistake::SameIncarnation, "holders by turns") + countBroken(Mistake::SameIncarnation, "one token, two holders")
-                  + countBroken(Mistake::SameIncarnation, "two counts for one window"),
+    EXPECT_GT(countViolatingRuns(Mistake::SameIncarnation, "holders by turns") + countViolatingRuns(Mistake::SameIncarnation, "one token, two holders")
+                  + countViolatingRuns(Mistake::SameIncarnation, "two counts for one window"),
               0U);
 }
 
-TEST(DutyInterleavingTests, actingAfterTheLeaseIsFound)
+TEST(DutyInterleavingTests, actingAfterTheLeaseIsDetected)
 {
-    EXPECT_GT(countBroken(Mistake::ActsAfterLease, "holders by turns"), 0U);
+    EXPECT_GT(countViolatingRuns(Mistake::ActsAfterLease, "holders by turns"), 0U);
 }
 
-TEST(DutyInterleavingTests, sendingBeforeFixingIsFound)
+TEST(DutyInterleavingTests, sendingBeforeTheCommitIsDetected)
 {
-    EXPECT_GT(countBroken(Mistake::SendsBeforeFixed, "two counts for one window"), 0U);
+    EXPECT_GT(countViolatingRuns(Mistake::SendsBeforeCommit, "two counts for one window"), 0U);
 }
 
-TEST(DutyInterleavingTests, leadingAgainWithoutRestIsFound)
+TEST(DutyInterleavingTests, leadingAgainWithoutACooldownIsDetected)
 {
-    EXPECT_GT(countBroken(Mistake::NoRest, "holders by turns"), 0U);
+    EXPECT_GT(countViolatingRuns(Mistake::NoCooldown, "holders by turns"), 0U);
 }
 /// @}
--- a/src/core/leadership/tests/leadership_tests.cpp
+++ b/src/core/leadership/tests/leadership_tests.cpp
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;
 
-/// One entry, with a store that answers as the test says.
+/// One entry; the test supplies the answers of the store.
 class Entry
 {
 public:
@@ -27,12 +27,12 @@
         now_ += duration;
         return apply(Tick{});
     }
-    /// Leads from now on, with this token.
+    /// Makes the entry lead with \p token.
     auto lead(std::uint64_t token) -> void
     {
         auto actions = apply(EligibilityChanged{ .isEligible = true });
         actions = apply(ClaimRead{ .call = findAction<ReadClaim>(actions).value().call });
-        actions = apply(LeaseTaken{ .call = findAction<TakeLease>(actions).value().call, .lease = 5, .lifetime = 3s });
+        actions = apply(LeaseAcquired{ .call = findAction<AcquireLease>(actions).value().call, .lease = 5, .lifetime = 3s });
         actions = apply(ClaimWritten{ .call = findAction<WriteClaim>(actions).value().call, .revision = token });
         apply(LeaseRenewed{ .call = findAction<RenewLease>(actions).value().call });
     }
@@ -56,8 +56,8 @@
     EXPECT_EQ(entry.token(), 17U);
 }
 
-/// Guards against a leader that is suspended for longer than its lease and goes on when it wakes.
-TEST(LeadershipTests, aLeaderThatWasSuspendedDoesNotActAnyMore)
+/// Guards against a leader that is suspended for longer than its lease and continues when it resumes.
+TEST(LeadershipTests, aSuspendedLeaderDoesNotActAfterItsLease)
 {
     Entry entry;
     entry.lead(17);
@@ -68,7 +68,7 @@
     EXPECT_EQ(findAction<TermEnded>(actions).value().reason, TermEnd::LeaseEnded);
 }
 
-/// Guards against acting between waking up and the first tick.
+/// Guards against actions between the resumption of a suspended leader and its first tick.
 TEST(LeadershipTests, thereIsNoTokenOnceTheLeaseMayHaveEnded)
 {
     Entry entry;
@@ -76,11 +76,12 @@
     entry.pass(1s);
     EXPECT_TRUE(entry.token());
     entry.pass(1500ms);
-    EXPECT_FALSE(entry.token()) << "nothing was renewed for 2.5 of 3 seconds";
+    EXPECT_FALSE(entry.token()) << "the lease of 3 seconds was last renewed 2.5 seconds ago";
 }
 
-/// Guards against A, B, A: an entry that led rests for longer than anybody needs to notice its successor.
-TEST(LeadershipTests, anEntryThatLedRestsBeforeItLeadsAgain)
+/// Guards against two entries that lead alternately (A, B, A): the cooldown after a term is longer than the others need to notice the next
+/// leader.
+TEST(LeadershipTests, anEntryWaitsForTheCooldownBeforeItLeadsAgain)
 {
     Entry entry;
     entry.lead(17);
@@ -89,7 +90,7 @@
     EXPECT_TRUE(findAction<ReadClaim>(entry.pass(200ms)));
 }
 
-TEST(LeadershipTests, anEntryThatLeavesHandsOverAtOnce)
+TEST(LeadershipTests, aLeavingLeaderReleasesItsLeaseAtOnce)
 {
     Entry entry;
     entry.lead(17);
@@ -98,21 +99,21 @@
     EXPECT_EQ(findAction<EndLease>(actions).value().lease, 5U);
 }
 
-/// Guards against a second token for one claim: the answer to the write was lost, and the write was done.
+/// Guards against a second token for one claim when the write was executed but its answer was lost.
 TEST(LeadershipTests, aClaimWhoseAnswerWasLostIsFoundByReading)
 {
     Entry entry;
     auto actions = entry.apply(EligibilityChanged{ .isEligible = true });
     actions = entry.apply(ClaimRead{ .call = findAction<ReadClaim>(actions).value().call });
-    actions = entry.apply(LeaseTaken{ .call = findAction<TakeLease>(actions).value().call, .lease = 5, .lifetime = 3s });
+    actions = entry.apply(LeaseAcquired{ .call = findAction<AcquireLease>(actions).value().call, .lease = 5, .lifetime = 3s });
     const auto write = findAction<WriteClaim>(actions).value();
     actions = entry.apply(CallFailed{ .call = write.call, .failure = CallFailure::Unknown });
     entry.apply(ClaimRead{ .call = findAction<ReadClaim>(actions).value().call, .claim = write.claim, .claimRevision = 21, .storeRevision = 30 });
     EXPECT_EQ(entry.token(), 21U);
 }
 
-/// Guards against an entry that takes the claim of its own earlier start for its own.
-TEST(LeadershipTests, aClaimOfAnEarlierStartIsSomebodyElses)
+/// Guards against an entry that treats the claim of its previous incarnation as its own.
+TEST(LeadershipTests, aClaimOfAnEarlierIncarnationIsNotOwn)
 {
     Entry entry;
     auto actions = entry.apply(EligibilityChanged{ .isEligible = true });
@@ -122,7 +123,7 @@
     EXPECT_EQ(findAction<WatchClaim>(actions).value().revision, 30U);
 }
 
-TEST(LeadershipTests, aStoreThatIsAwayEndsATermAndIsAskedSeldom)
+TEST(LeadershipTests, anUnavailableStoreEndsATermAndGetsFewCalls)
 {
     Entry entry;
     entry.lead(17);
--- a/src/gateway/duties.cpp
+++ b/src/gateway/duties.cpp
@@ -34,7 +34,7 @@
     , accounting_(accounting)
     , election_(loop,
                 settings.storeAddress,
-                { .entry = settings.name, .incarnation = incarnation, .lifetime = settings.leaderLease, .rest = 2 * settings.leaderLease },
+                { .entry = settings.name, .incarnation = incarnation, .lifetime = settings.leaderLease, .cooldown = 2 * settings.leaderLease },
                 {
                     .onTermBegun = [this](std::uint64_t token) { beginTerm(token); },
                     .onTermEnded = [this](std::uint64_t token, leadership::TermEnd reason) { endTerm(token, reason); },
--- a/src/gateway/election.cpp
+++ b/src/gateway/election.cpp
@@ -104,11 +104,11 @@
     fetch(action.call, request, [this, call = action.call](const http::Response &response) { takeClaimChange(call, response); });
 }
 
-auto Election::run(const leadership::TakeLease &action) -> void
+auto Election::run(const leadership::AcquireLease &action) -> void
 {
     fetch(action.call, adapter::makeLease(store_, action.lifetime), [this, call = action.call](const http::Response &response) {
         if (const auto lease = adapter::decodeLease(response)) {
-            apply(leadership::LeaseTaken{ .call = call, .lease = lease->id, .lifetime = lease->lifetime });
+            apply(leadership::LeaseAcquired{ .call = call, .lease = lease->id, .lifetime = lease->lifetime });
         } else {
             fail(call, CallFailure::Unknown);
         }
--- a/src/gateway/election.h
+++ b/src/gateway/election.h
@@ -45,7 +45,7 @@
     auto apply(const leadership::Event &event) -> void;
     auto run(const leadership::ReadClaim &action) -> void;
     auto run(const leadership::WatchClaim &action) -> void;
-    auto run(const leadership::TakeLease &action) -> void;
+    auto run(const leadership::AcquireLease &action) -> void;
     auto run(const leadership::WriteClaim &action) -> void;
     auto run(const leadership::RenewLease &action) -> void;
     auto run(const leadership::EndLease &action) -> void;
