--- a/src/core/fleet/membership.h
+++ b/src/core/fleet/membership.h
@@ -42,7 +42,7 @@
     std::optional<TimePoint> collectingSince;                  ///< not set while no heartbeat is received
 };
 
-/// Starts to collect heartbeats, with the entries that another reader \p listed as initial members.
+/// Starts to collect heartbeats. The entries that other readers have \p listed become the initial members.
 auto beginCollecting(Membership &membership, const std::vector<EntryRecord> &listed, TimePoint now) -> void;
 
 /// Updates the members by a heartbeat.
@@ -61,7 +61,7 @@
 /// \return the live entries, sorted by name; nothing until heartbeats have been collected for long enough to include every entry
 ///
 /// A reader that has just started, or that returns after a partition, knows only the few entries whose heartbeats have arrived since.
-/// Entries that query it would consider all others dead. It therefore publishes no list until each entry has had time for a heartbeat.
+/// Entries that query it would consider the remaining entries lost. It therefore publishes no list until each entry has had time for a heartbeat.
 auto listMembers(const Membership &membership, TimePoint now) -> std::optional<std::vector<EntryRecord>>;
 
 } // namespace auburnspread::fleet
