--- a/src/core/fleet/role.h
+++ b/src/core/fleet/role.h
@@ -38,7 +38,7 @@
     std::optional<TimePoint> registrationsReadAt; ///< time at which the registrations were read
     bool isLeaving = false;
 
-    std::map<std::string, TimePoint> unfitUntil; ///< by peer address
+    std::map<std::string, TimePoint> unfitUntil; ///< end of each unfit period, by peer address
 };
 
 auto makeRole(RoleOptions options, TimePoint now) -> Role;
--- a/src/core/fleet/tests/readers_tests.cpp
+++ b/src/core/fleet/tests/readers_tests.cpp
@@ -57,8 +57,8 @@
     }
     for (auto engine = 0; engine < 60; ++engine) {
         const auto server = "engine-" + std::to_string(engine);
-        const auto asks = [&](const std::string &entry) { return queriesCacheOf(server, entries, entry); };
-        EXPECT_EQ(std::count_if(entries.begin(), entries.end(), asks), static_cast<std::ptrdiff_t>(QueriersPerEngine)) << server;
+        const auto isQuerier = [&](const std::string &entry) { return queriesCacheOf(server, entries, entry); };
+        EXPECT_EQ(std::count_if(entries.begin(), entries.end(), isQuerier), static_cast<std::ptrdiff_t>(QueriersPerEngine)) << server;
     }
     EXPECT_TRUE(queriesCacheOf("engine-1", { "entry-1" }, "entry-1"));
 }
