--- a/src/core/leadership/tests/dutyworld.cpp
+++ b/src/core/leadership/tests/dutyworld.cpp
@@ -203,9 +203,9 @@
     {
         return "e" + std::to_string(number);
     }
-    [[nodiscard]] auto trueTime() const -> usage::TrueTime
+    [[nodiscard]] auto trueTime() const -> usage::UnixTime
     {
-        return std::chrono::duration_cast<usage::TrueTime>(now_.time_since_epoch());
+        return std::chrono::duration_cast<usage::UnixTime>(now_.time_since_epoch());
     }
 
     auto scheduleTick(std::size_t number) -> void
@@ -228,7 +228,7 @@
         for (auto window = current - 2; window <= current; ++window) {
             report.windows[window]["workspace"] = 1 + draw(20);
         }
-        usage::noteReport(entry.reporter->ledger, report);
+        usage::applyReport(entry.reporter->ledger, report);
         apply(number, usage::Tick{ .time = trueTime(), .entries = { "counter" } });
     }
 
@@ -426,7 +426,7 @@
             apply(number, usage::SendFailed{ .window = action.window });
         }
     }
-    auto perform(std::size_t /*number*/, const usage::LeftOut & /*action*/) -> void {}
+    auto perform(std::size_t /*number*/, const usage::SkippedWindows & /*action*/) -> void {}
 
     auto send(std::size_t number, const usage::Send &action) -> void
     {
--- a/src/core/usage/reporter.cpp
+++ b/src/core/usage/reporter.cpp
@@ -9,15 +9,17 @@
 namespace
 {
 
-/// After the end of a window until its counts are fixed: answers that tell late when their request began, and clocks that differ.
-constexpr Duration Settling = std::chrono::milliseconds(1500);
-/// An entry that has not told by then is not waited for.
-constexpr Duration Patience = std::chrono::milliseconds(6000);
-/// A new leader may have begun to hear the entries just now: by then each has told all its windows.
-constexpr Duration Collecting = std::chrono::milliseconds(2000);
-/// After a call that failed.
-constexpr Duration FailurePause = std::chrono::milliseconds(400);
-constexpr std::size_t RecordedWindows = 8;
+/// Shortest time from the end of a window until its counts are fixed. Some responses show only late when their request started, and the
+/// clocks of the entries differ.
+constexpr Duration SettlingTime = std::chrono::milliseconds(1500);
+/// Longest time from the end of a window for which the leader waits for the reports of all live entries.
+constexpr Duration MaxReportWait = std::chrono::milliseconds(6000);
+/// Time for which a new leader collects reports before it reads the record. It may have received no reports before its term; in this time
+/// each entry reports all its windows.
+constexpr Duration CollectionTime = std::chrono::milliseconds(2000);
+/// Delay after a failed call.
+constexpr Duration RetryDelay = std::chrono::milliseconds(400);
+constexpr std::size_t MaxRecordedWindows = 8;
 
 class Stepper
 {
@@ -33,7 +35,7 @@
     {
         endTerm();
         state_.token = event.token;
-        state_.askAt = now_ + Collecting;
+        state_.readNotBefore = now_ + CollectionTime;
     }
 
     auto operator()(const TermEnded & /*event*/) -> void
@@ -57,12 +59,13 @@
         }
     }
 
-    /// A write that failed may have been executed, or be executed later: what is fixed is what the store shows.
+    /// A failed write may have been executed, or may still be executed. The record is therefore read again: only its content in the store is
+    /// fixed.
     auto operator()(const RecordCallFailed &event) -> void
     {
         if (acceptAnswer(state_.pending, event.call)) {
             state_.record.reset();
-            state_.askAt = now_ + FailurePause;
+            state_.readNotBefore = now_ + RetryDelay;
         }
     }
 
@@ -76,7 +79,7 @@
     auto operator()(const SendFailed &event) -> void
     {
         state_.sending.erase(event.window);
-        state_.sendAt[event.window] = now_ + FailurePause;
+        state_.sendNotBefore[event.window] = now_ + RetryDelay;
     }
 
     auto operator()(const Tick &event) -> void
@@ -85,11 +88,11 @@
             return;
         }
         if (!state_.record) {
-            read();
+            readRecord();
             return;
         }
-        fix(event);
-        send(event);
+        fixWindows(event);
+        sendWindows(event);
     }
 
 private:
@@ -100,53 +103,57 @@
         cancelCall(state_.pending);
         state_.sent.clear();
         state_.sending.clear();
-        state_.sendAt.clear();
-        state_.askAt = now_;
+        state_.sendNotBefore.clear();
+        state_.readNotBefore = now_;
     }
 
-    auto read() -> void
+    auto readRecord() -> void
     {
-        if (now_ >= state_.askAt) {
+        if (now_ >= state_.readNotBefore) {
             actions_.emplace_back(ReadRecord{ .call = beginCall(state_.pending) });
         }
     }
 
-    [[nodiscard]] auto counts(Window window, TrueTime time) const -> bool
+    /// Whether a report of \p window at \p time is still accepted.
+    [[nodiscard]] auto isBeforeDeadline(Window window, UnixTime time) const -> bool
     {
-        return time < endOf(window, state_.options.windowLength) + state_.options.due;
+        return time < windowEnd(window, state_.options.windowLength) + state_.options.reportDeadline;
     }
 
+    /// Whether the counts of \p window are complete, or the longest wait for them is over.
     [[nodiscard]] auto isReady(Window window, const Tick &tick) const -> bool
     {
-        const auto since = tick.time - endOf(window, state_.options.windowLength);
-        return since >= Patience || (since >= Settling && haveTold(state_.ledger, tick.entries, window));
+        const auto since = tick.time - windowEnd(window, state_.options.windowLength);
+        return since >= MaxReportWait || (since >= SettlingTime && haveReportedAfter(state_.ledger, tick.entries, window));
     }
 
-    /// The first window that is not fixed and still counts. Windows from before anybody counted are nobody's.
-    [[nodiscard]] auto firstOpen(TrueTime time) const -> Window
+    /// \return the first window that is not fixed and whose report is still accepted. Windows before the first counts of any entry are
+    /// omitted.
+    [[nodiscard]] auto firstUnfixedWindow(UnixTime time) const -> Window
     {
         const auto current = windowAt(time, state_.options.windowLength);
         auto first = current;
-        for (const auto &[key, teller] : state_.ledger.tellers) {
-            first = teller.windows.empty() ? first : std::min(first, teller.windows.begin()->first);
+        for (const auto &[key, entry] : state_.ledger.entryCounts) {
+            first = entry.windows.empty() ? first : std::min(first, entry.windows.begin()->first);
         }
-        // a clock that is years behind must not make this a walk over all windows since
-        first = std::max(first, windowAt(time - std::chrono::duration_cast<TrueTime>(state_.options.due), state_.options.windowLength));
+        // Without this bound, an entry whose clock is years behind would make the leader iterate over all windows since then.
+        first = std::max(first, windowAt(time - std::chrono::duration_cast<UnixTime>(state_.options.reportDeadline), state_.options.windowLength));
         return state_.record->empty() ? first : std::max(first, state_.record->rbegin()->first + 1);
     }
 
-    /// Windows are fixed in their order: once a later one is, an earlier one that is missing stays so.
-    auto fix(const Tick &tick) -> void
+    /// Fixes the counts of the windows that are ready. Windows are fixed in ascending order: a missing window is never added once a later one
+    /// is fixed.
+    auto fixWindows(const Tick &tick) -> void
     {
         auto proposed = *state_.record;
-        for (auto window = firstOpen(tick.time); isReady(window, tick); ++window) {
-            proposed[window] = countsOf(state_.ledger, window);
+        for (auto window = firstUnfixedWindow(tick.time); isReady(window, tick); ++window) {
+            proposed[window] = totalCounts(state_.ledger, window);
         }
         if (proposed.size() == state_.record->size()) {
             return;
         }
-        noteLeftOut(proposed);
-        while (proposed.size() > RecordedWindows) {
+        reportSkippedWindows(proposed);
+        while (proposed.size() > MaxRecordedWindows) {
             proposed.erase(proposed.begin());
         }
         state_.proposed = std::move(proposed);
@@ -158,7 +165,7 @@
         });
     }
 
-    auto noteLeftOut(const Record &proposed) -> void
+    auto reportSkippedWindows(const Record &proposed) -> void
     {
         if (state_.record->empty()) {
             return;
@@ -166,28 +173,28 @@
         const auto last = state_.record->rbegin()->first;
         const auto next = proposed.upper_bound(last)->first;
         if (next > last + 1) {
-            actions_.emplace_back(LeftOut{ .first = last + 1, .last = next - 1 });
+            actions_.emplace_back(SkippedWindows{ .first = last + 1, .last = next - 1 });
         }
     }
 
-    /// A term may last for months.
-    auto forgetDropped() -> void
+    /// Removes windows that the record no longer contains. Without this, the sets would grow during a term, which may last for months.
+    auto removeDroppedWindows() -> void
     {
         const auto isDropped = [this](Window window) { return !state_.record->contains(window); };
         std::erase_if(state_.sent, isDropped);
-        std::erase_if(state_.sendAt, [&isDropped](const auto &item) { return isDropped(item.first); });
+        std::erase_if(state_.sendNotBefore, [&isDropped](const auto &item) { return isDropped(item.first); });
     }
 
-    auto send(const Tick &tick) -> void
+    auto sendWindows(const Tick &tick) -> void
     {
-        forgetDropped();
-        for (const auto &[window, counted] : *state_.record) {
+        removeDroppedWindows();
+        for (const auto &[window, counts] : *state_.record) {
             const auto isDone = state_.sent.contains(window) || state_.sending.contains(window);
-            if (isDone || !counts(window, tick.time) || now_ < state_.sendAt[window]) {
+            if (isDone || !isBeforeDeadline(window, tick.time) || now_ < state_.sendNotBefore[window]) {
                 continue;
             }
             state_.sending.insert(window);
-            actions_.emplace_back(Send{ .window = window, .counts = counted, .token = *state_.token });
+            actions_.emplace_back(Send{ .window = window, .counts = counts, .token = *state_.token });
         }
     }
 
--- a/src/core/usage/reporter.h
+++ b/src/core/usage/reporter.h
@@ -1,9 +1,9 @@
 /// \file
-/// Reports the usage of each window once, by the leader: `(state, event, now) -> actions`. Pure.
+/// State machine by which the leader reports the usage of each window exactly once: `(state, event, now) -> actions`. Pure: no I/O, no clock.
 ///
-/// Failure: a leader reports a window and is lost before anybody knows; the next one has heard one entry more, and reports the same
-/// window with other counts. So the counts of a window are fixed in the platform's store, by a write that names what it replaces, before
-/// they are sent for the first time, and whoever sends them later sends what was fixed.
+/// Failure: a leader sends the counts of a window and crashes before any other entry knows. The next leader has received the reports of one
+/// more entry and sends other counts for the same window. Therefore the counts of a window are fixed in the platform's store by a
+/// compare-and-swap write before they are sent for the first time, and every later leader sends the fixed counts.
 
 #pragma once
 
@@ -24,10 +24,10 @@
 
 struct Options {
     Duration windowLength = std::chrono::seconds(5);
-    Duration due = std::chrono::seconds(10); ///< after the end of a window; a later report counts for nothing
+    Duration reportDeadline = std::chrono::seconds(10); ///< after the end of a window; the platform ignores later reports
 };
 
-/// The counts that were fixed; the latest windows only.
+/// The fixed counts of the latest windows, as stored in the platform's store.
 using Record = std::map<Window, Counts>;
 
 /// \name Events
@@ -39,14 +39,14 @@
 };
 struct RecordRead {
     std::uint64_t call = 0;
-    Record record;              ///< empty: there is none
-    std::uint64_t revision = 0; ///< of its last write; 0: there is none
+    Record record;              ///< empty if the store contains no record
+    std::uint64_t revision = 0; ///< revision of the last write of the record; 0 if the store contains no record
 };
 struct RecordWritten {
     std::uint64_t call = 0;
     std::uint64_t revision = 0;
 };
-/// The call did nothing, or may have done it or do it later.
+/// The call was not executed, or its result is unknown: the store may have executed it or may still execute it.
 struct RecordCallFailed {
     std::uint64_t call = 0;
 };
@@ -57,8 +57,8 @@
     Window window = 0;
 };
 struct Tick {
-    TrueTime time{};
-    std::set<std::string> entries; ///< alive
+    UnixTime time{};
+    std::set<std::string> entries; ///< names of the live entries
 };
 using Event = std::variant<TermBegun, TermEnded, RecordRead, RecordWritten, RecordCallFailed, Sent, SendFailed, Tick>;
 /// @}
@@ -68,40 +68,41 @@
 struct ReadRecord {
     std::uint64_t call = 0;
 };
-/// Writes the record if its last write is still the one of \p expectedRevision and this entry still leads.
+/// Writes the record if its revision is still \p expectedRevision and this entry is still the leader.
 struct WriteRecord {
     std::uint64_t call = 0;
     Record record;
     std::uint64_t expectedRevision = 0;
     std::uint64_t token = 0;
 };
+/// Sends the fixed counts of a window to the platform.
 struct Send {
     Window window = 0;
     Counts counts;
     std::uint64_t token = 0;
 };
-/// A window is over for which no report can count any more.
-struct LeftOut {
+/// The windows from \p first to \p last were not fixed and are never reported, since a later window is being fixed.
+struct SkippedWindows {
     Window first = 0;
     Window last = 0;
 };
-using Action = std::variant<ReadRecord, WriteRecord, Send, LeftOut>;
+using Action = std::variant<ReadRecord, WriteRecord, Send, SkippedWindows>;
 using Actions = std::vector<Action>;
 /// @}
 
 struct State {
     Options options;
     Ledger ledger;
-    std::optional<std::uint64_t> token; ///< while this entry leads
+    std::optional<std::uint64_t> token; ///< fencing token of the term; not set while this entry is not the leader
 
-    std::optional<Record> record; ///< not set: to be read
+    std::optional<Record> record; ///< not set if the record has to be read
     std::uint64_t revision = 0;
-    Record proposed;       ///< by the write that is under way
-    PendingCall pending;   ///< for the record
-    TimePoint askAt;       ///< not before
-    std::set<Window> sent; ///< in this term, of those that stand in the record
-    std::set<Window> sending;
-    std::map<Window, TimePoint> sendAt; ///< not before
+    Record proposed;                           ///< content of the write in progress
+    PendingCall pending;                       ///< call for the record
+    TimePoint readNotBefore;                   ///< earliest time of the next read of the record
+    std::set<Window> sent;                     ///< windows of the record that were sent in this term
+    std::set<Window> sending;                  ///< windows whose send is in progress
+    std::map<Window, TimePoint> sendNotBefore; ///< earliest time of the next send of a window
 };
 
 auto makeState(Options options) -> State;
--- a/src/core/usage/tally.cpp
+++ b/src/core/usage/tally.cpp
@@ -9,37 +9,37 @@
 namespace
 {
 
-/// Windows before the current one that may still be reported.
+/// Number of windows before the current one that may still be reported.
 constexpr Window KeptWindows = 5;
 
-auto forgetBefore(std::map<Window, Counts> &windows, Window oldest) -> void
+auto removeBefore(std::map<Window, Counts> &windows, Window oldest) -> void
 {
     windows.erase(windows.begin(), windows.lower_bound(oldest));
 }
 
 } // namespace
 
-auto windowAt(TrueTime time, Duration length) -> Window
+auto windowAt(UnixTime time, Duration length) -> Window
 {
     return time / length;
 }
 
-auto endOf(Window window, Duration length) -> TrueTime
+auto windowEnd(Window window, Duration length) -> UnixTime
 {
-    return std::chrono::duration_cast<TrueTime>((window + 1) * length);
+    return std::chrono::duration_cast<UnixTime>((window + 1) * length);
 }
 
-auto noteBegun(Tally &tally, const std::string &workspace, Window window) -> void
+auto recordStart(Tally &tally, const std::string &workspace, Window window) -> void
 {
     tally.windows[window][workspace] += 1;
 }
 
-auto makeReport(Tally &tally, const std::string &entry, std::uint64_t incarnation, Window current, std::uint64_t turn) -> Report
+auto makeReport(Tally &tally, const std::string &entry, std::uint64_t incarnation, Window current, std::uint64_t reportNumber) -> Report
 {
-    forgetBefore(tally.windows, current - KeptWindows);
+    removeBefore(tally.windows, current - KeptWindows);
     Report report{ .entry = entry, .incarnation = incarnation, .current = current };
-    const auto earlier = current - 1 - static_cast<Window>(turn % KeptWindows);
-    // the window that has just ended is told each time until it is fixed
+    const auto earlier = current - 1 - static_cast<Window>(reportNumber % KeptWindows);
+    // Each report contains the window that has just ended, since its counts are fixed next.
     for (const auto window : { current, current - 1, earlier }) {
         const auto found = tally.windows.find(window);
         if (found != tally.windows.end()) {
@@ -49,30 +49,30 @@
     return report;
 }
 
-auto noteReport(Ledger &ledger, const Report &report) -> void
+auto applyReport(Ledger &ledger, const Report &report) -> void
 {
-    auto &teller = ledger.tellers[{ report.entry, report.incarnation }];
-    teller.current = std::max(teller.current, report.current);
+    auto &entry = ledger.entryCounts[{ report.entry, report.incarnation }];
+    entry.current = std::max(entry.current, report.current);
     for (const auto &[window, counts] : report.windows) {
-        auto &known = teller.windows[window];
+        auto &known = entry.windows[window];
         for (const auto &[workspace, count] : counts) {
             known[workspace] = std::max(known[workspace], count);
         }
     }
-    forgetBefore(teller.windows, teller.current - 2 * KeptWindows);
+    removeBefore(entry.windows, entry.current - 2 * KeptWindows);
 }
 
-auto forgetSilent(Ledger &ledger, Window current) -> void
+auto removeSilentEntries(Ledger &ledger, Window current) -> void
 {
-    std::erase_if(ledger.tellers, [current](const auto &item) { return item.second.current < current - 2 * KeptWindows; });
+    std::erase_if(ledger.entryCounts, [current](const auto &item) { return item.second.current < current - 2 * KeptWindows; });
 }
 
-auto countsOf(const Ledger &ledger, Window window) -> Counts
+auto totalCounts(const Ledger &ledger, Window window) -> Counts
 {
     Counts sum;
-    for (const auto &[key, teller] : ledger.tellers) {
-        const auto found = teller.windows.find(window);
-        if (found == teller.windows.end()) {
+    for (const auto &[key, entry] : ledger.entryCounts) {
+        const auto found = entry.windows.find(window);
+        if (found == entry.windows.end()) {
             continue;
         }
         for (const auto &[workspace, count] : found->second) {
@@ -82,15 +82,15 @@
     return sum;
 }
 
-auto haveTold(const Ledger &ledger, const std::set<std::string> &entries, Window window) -> bool
+auto haveReportedAfter(const Ledger &ledger, const std::set<std::string> &entries, Window window) -> bool
 {
-    std::set<std::string> told;
-    for (const auto &[key, teller] : ledger.tellers) {
-        if (teller.current > window) {
-            told.insert(key.first);
+    std::set<std::string> reported;
+    for (const auto &[key, entry] : ledger.entryCounts) {
+        if (entry.current > window) {
+            reported.insert(key.first);
         }
     }
-    return std::includes(told.begin(), told.end(), entries.begin(), entries.end());
+    return std::includes(reported.begin(), reported.end(), entries.begin(), entries.end());
 }
 
 } // namespace auburnspread::usage
--- a/src/core/usage/tally.h
+++ b/src/core/usage/tally.h
@@ -1,7 +1,8 @@
 /// \file
-/// How many requests of each workspace began to run, by window of true time: as one entry counts them, and as all entries told. Pure.
+/// Counts the requests of each workspace that started to run in each window of wall-clock time: the counts of one entry, and the counts
+/// that all entries reported. Pure: no I/O, no clock.
 ///
-/// Reports are cumulative, so that lost, doubled and reordered ones do no harm.
+/// Reports are cumulative, so lost, duplicated and reordered reports do not change the result.
 
 #pragma once
 
@@ -17,49 +18,56 @@
 namespace auburnspread::usage
 {
 
-/// Since the start of 1970.
-using TrueTime = std::chrono::milliseconds;
+/// Time since the Unix epoch.
+using UnixTime = std::chrono::milliseconds;
 
-/// Number of a window: it begins so many windows after the start of 1970.
+/// Number of a window, counted in window lengths since the Unix epoch.
 using Window = std::int64_t;
 
-using Counts = std::map<std::string, std::uint64_t>; ///< requests, by workspace
+using Counts = std::map<std::string, std::uint64_t>; ///< number of requests by workspace
 
-auto windowAt(TrueTime time, Duration length) -> Window;
-auto endOf(Window window, Duration length) -> TrueTime;
+/// \return the window that contains \p time
+auto windowAt(UnixTime time, Duration length) -> Window;
+auto windowEnd(Window window, Duration length) -> UnixTime;
 
-/// What one entry counted itself.
+/// The requests that one entry has counted itself.
 struct Tally {
     std::map<Window, Counts> windows;
 };
 
-auto noteBegun(Tally &tally, const std::string &workspace, Window window) -> void;
+/// Counts a request of \p workspace that started to run in \p window.
+auto recordStart(Tally &tally, const std::string &workspace, Window window) -> void;
 
-/// What an entry tells, again and again: a part of its tally, and how far it has come.
+/// Report that an entry sends repeatedly: some windows of its tally, and its current window.
 struct Report {
     std::string entry;
     std::uint64_t incarnation = 0;
-    Window current = 0; ///< the entry's window as it reports
+    Window current = 0; ///< window of the entry's clock when it made the report
     std::map<Window, Counts> windows;
 };
 
-/// The current window and an earlier one, another one with each \p turn. Forgets windows that nobody needs any more.
-auto makeReport(Tally &tally, const std::string &entry, std::uint64_t incarnation, Window current, std::uint64_t turn) -> Report;
+/// Makes a report of the current window, the window before it and one earlier window, which rotates with \p reportNumber. Removes windows
+/// from \p tally that are too old to be reported.
+auto makeReport(Tally &tally, const std::string &entry, std::uint64_t incarnation, Window current, std::uint64_t reportNumber) -> Report;
 
-/// What the entries told to this one.
+/// The counts that all entries reported to this entry.
 struct Ledger {
-    struct Teller {
-        Window current = 0;
+    struct EntryCounts {
+        Window current = 0; ///< newest current window that the entry reported
         std::map<Window, Counts> windows;
     };
-    std::map<std::pair<std::string, std::uint64_t>, Teller> tellers; ///< by entry and incarnation: one that has ended counts on
+    /// By entry and incarnation: the counts of an incarnation that has ended remain valid.
+    std::map<std::pair<std::string, std::uint64_t>, EntryCounts> entryCounts;
 };
 
-auto noteReport(Ledger &ledger, const Report &report) -> void;
-/// Forgets entries that told nothing for so long before \p current, the window of this entry's own clock, that no report needs them.
-auto forgetSilent(Ledger &ledger, Window current) -> void;
-auto countsOf(const Ledger &ledger, Window window) -> Counts;
-/// Whether each of these entries has told after the end of the window.
-auto haveTold(const Ledger &ledger, const std::set<std::string> &entries, Window window) -> bool;
+/// Takes over the counts of \p report. Counts never decrease, so an old or duplicated report changes nothing.
+auto applyReport(Ledger &ledger, const Report &report) -> void;
+/// Removes entries whose last report is so much older than \p current, the window of this entry's own clock, that none of their counts can
+/// still be reported.
+auto removeSilentEntries(Ledger &ledger, Window current) -> void;
+/// \return the counts of \p window, summed over all entries
+auto totalCounts(const Ledger &ledger, Window window) -> Counts;
+/// Whether each of \p entries has reported after the end of \p window.
+auto haveReportedAfter(const Ledger &ledger, const std::set<std::string> &entries, Window window) -> bool;
 
 } // namespace auburnspread::usage
--- a/src/gateway/duties.cpp
+++ b/src/gateway/duties.cpp
@@ -14,10 +14,10 @@
 
 constexpr Duration TickInterval = std::chrono::milliseconds(200);
 
-/// A new leader orders nothing before it has heard what runs where.
-constexpr Duration OrderPatience = std::chrono::milliseconds(500);
-/// An order rests on a list of servers that is no older.
-constexpr Duration OldestServers = std::chrono::seconds(3);
+/// Time for which a new leader orders no servers, so that the load reports of the other entries arrive first.
+constexpr Duration OrderDelay = std::chrono::milliseconds(500);
+/// Servers are ordered only while the list of servers is younger than this.
+constexpr Duration MaxServerListAge = std::chrono::seconds(3);
 
 } // namespace
 
@@ -45,20 +45,20 @@
                .api = settings.dutyApi,
                .entry = settings.name,
                .incarnation = incarnation,
-               .windows = { .windowLength = settings.usageWindow, .due = settings.usageDue } },
+               .windows = { .windowLength = settings.usageWindow, .reportDeadline = settings.usageDue } },
              {
-                 .onTokenRefused = [this](std::uint64_t token) { election_.noteTokenRefused(token); },
-                 .onWindow
+                 .onTokenRefused = [this](std::uint64_t token) { election_.handleTokenRefused(token); },
+                 .onWindowOutcome
                  = [this](usage::Window window, std::string_view outcome, std::uint64_t requests) { accounting_.usageReported(window, outcome, requests); },
                  .onInvalid = [this](std::string_view what, const std::string &detail) { accounting_.inputInvalid(what, detail); },
              })
-    , orders_(
-          loop,
-          { .api = settings.dutyApi, .entry = settings.name },
-          {
-              .onTokenRefused = [this](std::uint64_t token) { election_.noteTokenRefused(token); },
-              .onOrder = [this](const ordering::Order &order, std::string_view outcome, double needed) { accounting_.serversOrdered(order, outcome, needed); },
-          })
+    , orders_(loop,
+              { .api = settings.dutyApi, .entry = settings.name },
+              {
+                  .onTokenRefused = [this](std::uint64_t token) { election_.handleTokenRefused(token); },
+                  .onOrderOutcome
+                  = [this](const ordering::Order &order, std::string_view outcome, double needed) { accounting_.serversOrdered(order, outcome, needed); },
+              })
 {
 }
 
@@ -83,18 +83,18 @@
     return election_.token().has_value();
 }
 
-auto Duties::takeConfiguration(const passthrough::Configuration &configuration) -> void
+auto Duties::applyConfiguration(const passthrough::Configuration &configuration) -> void
 {
-    orderable_.clear();
-    std::copy_if(configuration.services.begin(), configuration.services.end(), std::back_inserter(orderable_), [](const passthrough::Service &service) {
+    scalableServices_.clear();
+    std::copy_if(configuration.services.begin(), configuration.services.end(), std::back_inserter(scalableServices_), [](const passthrough::Service &service) {
         return service.scaling.has_value();
     });
 }
 
-auto Duties::noteBegun(const std::string &workspace, TimePoint at) -> void
+auto Duties::recordStart(const std::string &workspace, TimePoint at) -> void
 {
     if (duties_.reportsUsage) {
-        usage_.noteBegun(workspace, at);
+        usage_.recordStart(workspace, at);
     }
 }
 
@@ -103,9 +103,9 @@
     return duties_.reportsUsage ? std::optional(usage_.makeReport()) : std::nullopt;
 }
 
-auto Duties::hear(const usage::Report &report) -> void
+auto Duties::handleReport(const usage::Report &report) -> void
 {
-    usage_.hear(report);
+    usage_.handleReport(report);
 }
 
 auto Duties::calls() const -> std::uint64_t
@@ -115,7 +115,7 @@
 
 auto Duties::beginTerm(std::uint64_t token) -> void
 {
-    termBegunAt_ = now();
+    termStartedAt_ = now();
     accounting_.leadershipChanged(true, token, "");
     usage_.beginTerm(token);
     orders_.beginTerm();
@@ -146,21 +146,22 @@
     }
 }
 
-/// Failure: a leader that is cut off from the store, or has just begun, sees servers that are gone or misses some that are there. Symptom:
-/// it orders what there is already, or sends servers away in the middle of a burst.
+/// A leader that has lost its connection to the store, or whose term has just started, may see servers that are gone or miss servers that
+/// exist. It would order servers that exist already, or release servers in the middle of a burst. It therefore orders nothing in these
+/// cases.
 auto Duties::orderServers(std::uint64_t token) -> void
 {
     const auto at = now();
-    const auto isKnown = known_.serversAt && at - *known_.serversAt < OldestServers && at - termBegunAt_ >= OrderPatience;
+    const auto isKnown = known_.serversAt && at - *known_.serversAt < MaxServerListAge && at - termStartedAt_ >= OrderDelay;
     if (!isKnown || known_.servers.empty()) {
         return;
     }
-    for (const auto &service : orderable_) {
-        orders_.update(situationOf(service), token);
+    for (const auto &service : scalableServices_) {
+        orders_.update(makeSituation(service), token);
     }
 }
 
-auto Duties::situationOf(const passthrough::Service &service) const -> ordering::ServiceSituation
+auto Duties::makeSituation(const passthrough::Service &service) const -> ordering::ServiceSituation
 {
     ordering::ServiceSituation situation{ .service = service.name, .scaling = *service.scaling };
     std::copy_if(known_.servers.begin(), known_.servers.end(), std::back_inserter(situation.servers), [&service](const passthrough::Server &server) {
--- a/src/gateway/duties.h
+++ b/src/gateway/duties.h
@@ -1,6 +1,6 @@
 /// \file
-/// What one entry does for all: it reports the usage of workspaces and orders backend servers. Any entry that reads the store may be the
-/// one; the others tell it what they counted.
+/// Duties that one entry, the elected leader, performs for the whole fleet: it reports the usage of the workspaces to the platform and
+/// orders backend servers. Every entry that reads the store is eligible; the other entries send it their usage counts.
 
 #pragma once
 
@@ -25,7 +25,7 @@
 class Duties
 {
 public:
-    /// \p router, \p known and \p accounting must outlive it.
+    /// \p router, \p known and \p accounting must outlive this object.
     Duties(task::EventLoop &loop,
            const GatewaySettings &settings,
            std::uint64_t incarnation,
@@ -33,19 +33,23 @@
            const DirectoryState &known,
            Accounting &accounting);
 
+    /// Starts the election and the periodic work, if the platform has assigned any duty to the entries.
     auto start() -> void;
-    /// Whether this entry may lead: it reads the store, serves and is not leaving.
+    /// Sets whether this entry may become the leader: it reads the store, serves requests and is not leaving.
     auto setEligible(bool isEligible) -> void;
+    /// Whether this entry is the leader now.
     [[nodiscard]] auto leads() const -> bool;
-    auto takeConfiguration(const passthrough::Configuration &configuration) -> void;
+    /// Takes over the services whose backend servers can be ordered.
+    auto applyConfiguration(const passthrough::Configuration &configuration) -> void;
 
-    /// A request of the workspace began to run on a backend server.
-    auto noteBegun(const std::string &workspace, TimePoint at) -> void;
-    /// For those that may lead; nothing where usage is not reported.
+    /// Counts a request of \p workspace that started to run on a backend server.
+    auto recordStart(const std::string &workspace, TimePoint at) -> void;
+    /// \return the usage counts to send to the eligible entries, or nothing if usage reporting is not one of the duties
     auto makeReport() -> std::optional<usage::Report>;
-    auto hear(const usage::Report &report) -> void;
+    /// Takes over the usage counts that another entry sent.
+    auto handleReport(const usage::Report &report) -> void;
 
-    /// To the store and the platform's interface.
+    /// Number of calls to the store and to the platform's interface.
     [[nodiscard]] auto calls() const -> std::uint64_t;
 
 private:
@@ -53,7 +57,7 @@
     auto beginTerm(std::uint64_t token) -> void;
     auto endTerm(std::uint64_t token, leadership::TermEnd reason) -> void;
     auto orderServers(std::uint64_t token) -> void;
-    [[nodiscard]] auto situationOf(const passthrough::Service &service) const -> ordering::ServiceSituation;
+    [[nodiscard]] auto makeSituation(const passthrough::Service &service) const -> ordering::ServiceSituation;
 
     task::EventLoop &loop_;
     adapter::Duties duties_;
@@ -63,8 +67,8 @@
     Election election_;
     UsageReports usage_;
     ServerOrders orders_;
-    std::vector<passthrough::Service> orderable_; ///< services whose servers can be ordered
-    TimePoint termBegunAt_;
+    std::vector<passthrough::Service> scalableServices_; ///< services whose backend servers can be ordered
+    TimePoint termStartedAt_;
     task::Watch timer_;
 };
 
--- a/src/gateway/election.cpp
+++ b/src/gateway/election.cpp
@@ -18,10 +18,10 @@
 using nlohmann::json;
 
 constexpr Duration TickInterval = std::chrono::milliseconds(100);
-/// A change of the key ends the wait, so a long one costs little.
-constexpr Duration WatchTime = std::chrono::seconds(10);
+/// A change of the key ends the watch at once, so a long timeout delays nothing and saves calls.
+constexpr Duration WatchTimeout = std::chrono::seconds(10);
 
-auto toFailure(StoreOutcome outcome) -> CallFailure
+auto callFailureFor(StoreOutcome outcome) -> CallFailure
 {
     switch (outcome) {
     case StoreOutcome::Absent:
@@ -54,7 +54,7 @@
 
 Election::Election(task::EventLoop &loop, std::string store, leadership::Options options, ElectionCallbacks callbacks)
     : loop_(loop)
-    , store_(std::move(store))
+    , storeAddress_(std::move(store))
     , callbacks_(std::move(callbacks))
     , client_(loop)
     , state_(leadership::makeState(std::move(options)))
@@ -71,7 +71,7 @@
     apply(leadership::EligibilityChanged{ .isEligible = isEligible });
 }
 
-auto Election::noteTokenRefused(std::uint64_t token) -> void
+auto Election::handleTokenRefused(std::uint64_t token) -> void
 {
     apply(leadership::TokenRefused{ .token = token });
 }
@@ -89,93 +89,95 @@
 auto Election::apply(const leadership::Event &event) -> void
 {
     for (const auto &action : leadership::step(state_, event, now())) {
-        std::visit([this](const auto &each) { run(each); }, action);
+        std::visit([this](const auto &each) { execute(each); }, action);
     }
 }
 
-auto Election::run(const leadership::ReadClaim &action) -> void
+auto Election::execute(const leadership::ReadClaim &action) -> void
 {
-    fetch(action.call, adapter::makeRange(store_, LeaderKey, ""), [this, call = action.call](const http::Response &response) { takeClaim(call, response); });
+    callStore(action.call, adapter::makeRange(storeAddress_, LeaderKey, ""), [this, call = action.call](const http::Response &response) {
+        handleClaim(call, response);
+    });
 }
 
-auto Election::run(const leadership::WatchClaim &action) -> void
+auto Election::execute(const leadership::WatchClaim &action) -> void
 {
-    const auto request = adapter::makeWatch(store_, LeaderKey, action.revision, WatchTime);
-    fetch(action.call, request, [this, call = action.call](const http::Response &response) { takeClaimChange(call, response); });
+    const auto request = adapter::makeWatch(storeAddress_, LeaderKey, action.revision, WatchTimeout);
+    callStore(action.call, request, [this, call = action.call](const http::Response &response) { handleClaimChange(call, response); });
 }
 
-auto Election::run(const leadership::AcquireLease &action) -> void
+auto Election::execute(const leadership::AcquireLease &action) -> void
 {
-    fetch(action.call, adapter::makeLease(store_, action.lifetime), [this, call = action.call](const http::Response &response) {
+    callStore(action.call, adapter::makeLease(storeAddress_, action.lifetime), [this, call = action.call](const http::Response &response) {
         if (const auto lease = adapter::decodeLease(response)) {
             apply(leadership::LeaseAcquired{ .call = call, .lease = lease->id, .lifetime = lease->lifetime });
         } else {
-            fail(call, CallFailure::Unknown);
+            handleFailure(call, CallFailure::Unknown);
         }
     });
 }
 
-auto Election::run(const leadership::WriteClaim &action) -> void
+auto Election::execute(const leadership::WriteClaim &action) -> void
 {
     const auto key = std::string(LeaderKey);
-    const auto request = adapter::makeConditionalPut(store_, { { .key = key, .revision = 0 } }, key, encodeClaim(action.claim), action.lease);
-    fetch(action.call, request, [this, call = action.call](const http::Response &response) {
+    const auto request = adapter::makeConditionalPut(storeAddress_, { { .key = key, .revision = 0 } }, key, encodeClaim(action.claim), action.lease);
+    callStore(action.call, request, [this, call = action.call](const http::Response &response) {
         if (const auto revision = adapter::decodeRevision(response)) {
             apply(leadership::ClaimWritten{ .call = call, .revision = *revision });
         } else {
-            fail(call, CallFailure::Unknown);
+            handleFailure(call, CallFailure::Unknown);
         }
     });
 }
 
-auto Election::run(const leadership::RenewLease &action) -> void
+auto Election::execute(const leadership::RenewLease &action) -> void
 {
-    fetch(action.call, adapter::makeRenewal(store_, action.lease), [this, call = action.call](const http::Response & /*response*/) {
+    callStore(action.call, adapter::makeRenewal(storeAddress_, action.lease), [this, call = action.call](const http::Response & /*response*/) {
         apply(leadership::LeaseRenewed{ .call = call });
     });
 }
 
-auto Election::run(const leadership::EndLease &action) -> void
+auto Election::execute(const leadership::EndLease &action) -> void
 {
-    // a failure needs no repeat: the lease ends by itself within seconds
+    // A failed call is not retried: the lease expires within seconds.
     calls_ += 1;
-    client_.fetch(adapter::makeLeaseEnd(store_, action.lease), [](const http::Result &) {});
+    client_.fetch(adapter::makeLeaseEnd(storeAddress_, action.lease), [](const http::Result &) {});
 }
 
-auto Election::run(const leadership::TermBegun &action) -> void
+auto Election::execute(const leadership::TermBegun &action) -> void
 {
     callbacks_.onTermBegun(action.token);
 }
 
-auto Election::run(const leadership::TermEnded &action) -> void
+auto Election::execute(const leadership::TermEnded &action) -> void
 {
     callbacks_.onTermEnded(action.token, action.reason);
 }
 
-auto Election::fetch(std::uint64_t call, const http::Request &request, OnAnswer onAnswer) -> void
+auto Election::callStore(std::uint64_t call, const http::Request &request, OnResponse onResponse) -> void
 {
     calls_ += 1;
-    client_.fetch(request, [this, call, onAnswer = std::move(onAnswer)](const http::Result &result) {
+    client_.fetch(request, [this, call, onResponse = std::move(onResponse)](const http::Result &result) {
         const auto outcome = adapter::outcomeOf(result);
         if (outcome == StoreOutcome::Done) {
-            onAnswer(std::get<http::Response>(result));
+            onResponse(std::get<http::Response>(result));
         } else {
-            fail(call, toFailure(outcome));
+            handleFailure(call, callFailureFor(outcome));
         }
     });
 }
 
-auto Election::fail(std::uint64_t call, CallFailure failure) -> void
+auto Election::handleFailure(std::uint64_t call, CallFailure failure) -> void
 {
     apply(leadership::CallFailed{ .call = call, .failure = failure });
 }
 
-auto Election::takeClaim(std::uint64_t call, const http::Response &response) -> void
+auto Election::handleClaim(std::uint64_t call, const http::Response &response) -> void
 {
     const auto items = adapter::decodeItems(response);
     if (!items) {
-        callbacks_.onInvalid("leader", "answer of the store can't be read");
-        fail(call, CallFailure::Unknown);
+        callbacks_.onInvalid("leader", "cannot decode the response of the store");
+        handleFailure(call, CallFailure::Unknown);
         return;
     }
     lastRead_ = { .storeRevision = items->revision };
@@ -188,7 +190,7 @@
             lastRead_.claimRevision = item.revision;
         } catch (const json::exception &error) {
             callbacks_.onInvalid("leader", error.what());
-            fail(call, CallFailure::Unknown);
+            handleFailure(call, CallFailure::Unknown);
             return;
         }
     }
@@ -197,12 +199,12 @@
     apply(read);
 }
 
-/// Whatever changed, the key is read anew; nothing changed: the last reading holds on.
-auto Election::takeClaimChange(std::uint64_t call, const http::Response &response) -> void
+/// After any change the key is read again. A watch that ends without changes confirms the last claim read.
+auto Election::handleClaimChange(std::uint64_t call, const http::Response &response) -> void
 {
     const auto items = adapter::decodeItems(response);
     if (!items || !items->items.empty()) {
-        run(leadership::ReadClaim{ .call = call });
+        execute(leadership::ReadClaim{ .call = call });
         return;
     }
     lastRead_.storeRevision = items->revision;
--- a/src/gateway/election.h
+++ b/src/gateway/election.h
@@ -1,5 +1,5 @@
 /// \file
-/// Carries out what the leadership core asks of the platform's store.
+/// Takes part in the election of the leader: executes the actions of the leadership core as calls to the platform's store.
 
 #pragma once
 
@@ -17,13 +17,14 @@
 namespace auburnspread::gateway
 {
 
-/// Where the leader claims its term. What others do under its token names this key in their conditions.
+/// Key under which the leader writes its claim. The revision of the claim is the fencing token of the term: writes that only the leader may
+/// make name this key and the token in their conditions.
 constexpr std::string_view LeaderKey = "auburnspread/leader";
 
 struct ElectionCallbacks {
     std::function<void(std::uint64_t token)> onTermBegun;
     std::function<void(std::uint64_t token, leadership::TermEnd reason)> onTermEnded;
-    std::function<void(std::string_view what, const std::string &detail)> onInvalid;
+    std::function<void(std::string_view what, const std::string &detail)> onInvalid; ///< the store returned data that cannot be decoded
 };
 
 class Election
@@ -32,37 +33,40 @@
     Election(task::EventLoop &loop, std::string store, leadership::Options options, ElectionCallbacks callbacks);
 
     auto start() -> void;
+    /// Sets whether this entry may become the leader.
     auto setEligible(bool isEligible) -> void;
-    auto noteTokenRefused(std::uint64_t token) -> void;
+    /// The platform refused a call with \p token, since a later term has started.
+    auto handleTokenRefused(std::uint64_t token) -> void;
 
-    /// By which this entry may act at this moment.
+    /// \return the fencing token of the current term, or nothing if this entry is not the leader now
     [[nodiscard]] auto token() const -> std::optional<std::uint64_t>;
+    /// Number of calls to the store.
     [[nodiscard]] auto calls() const -> std::uint64_t;
 
 private:
-    using OnAnswer = std::function<void(const http::Response &response)>;
+    using OnResponse = std::function<void(const http::Response &response)>;
 
     auto apply(const leadership::Event &event) -> void;
-    auto run(const leadership::ReadClaim &action) -> void;
-    auto run(const leadership::WatchClaim &action) -> void;
-    auto run(const leadership::AcquireLease &action) -> void;
-    auto run(const leadership::WriteClaim &action) -> void;
-    auto run(const leadership::RenewLease &action) -> void;
-    auto run(const leadership::EndLease &action) -> void;
-    auto run(const leadership::TermBegun &action) -> void;
-    auto run(const leadership::TermEnded &action) -> void;
+    auto execute(const leadership::ReadClaim &action) -> void;
+    auto execute(const leadership::WatchClaim &action) -> void;
+    auto execute(const leadership::AcquireLease &action) -> void;
+    auto execute(const leadership::WriteClaim &action) -> void;
+    auto execute(const leadership::RenewLease &action) -> void;
+    auto execute(const leadership::EndLease &action) -> void;
+    auto execute(const leadership::TermBegun &action) -> void;
+    auto execute(const leadership::TermEnded &action) -> void;
 
-    auto fetch(std::uint64_t call, const http::Request &request, OnAnswer onAnswer) -> void;
-    auto takeClaim(std::uint64_t call, const http::Response &response) -> void;
-    auto takeClaimChange(std::uint64_t call, const http::Response &response) -> void;
-    auto fail(std::uint64_t call, leadership::CallFailure failure) -> void;
+    auto callStore(std::uint64_t call, const http::Request &request, OnResponse onResponse) -> void;
+    auto handleClaim(std::uint64_t call, const http::Response &response) -> void;
+    auto handleClaimChange(std::uint64_t call, const http::Response &response) -> void;
+    auto handleFailure(std::uint64_t call, leadership::CallFailure failure) -> void;
 
     task::EventLoop &loop_;
-    std::string store_;
+    std::string storeAddress_;
     ElectionCallbacks callbacks_;
     http::Client client_;
     leadership::State state_;
-    leadership::ClaimRead lastRead_; ///< what a watch without changes confirms
+    leadership::ClaimRead lastRead_; ///< newest claim read; a watch that ends without changes confirms it
     std::uint64_t calls_ = 0;
     task::Watch timer_;
 };
--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -139,7 +139,7 @@
 
 auto Fleet::recordStart(const std::string &workspace, TimePoint at) -> void
 {
-    duties_.noteBegun(workspace, at);
+    duties_.recordStart(workspace, at);
 }
 
 auto Fleet::hasServerList() const -> bool
@@ -217,7 +217,7 @@
         if (configuration.version <= before) {
             return;
         }
-        duties_.takeConfiguration(configuration);
+        duties_.applyConfiguration(configuration);
         engineServices_.clear();
         for (const auto &service : configuration.services) {
             if (service.batchSlots) {
@@ -533,7 +533,7 @@
     } else if (const auto *heartbeat = std::get_if<fleet::Heartbeat>(&message)) {
         handleHeartbeat(*heartbeat);
     } else if (const auto *usage = std::get_if<usage::Report>(&message)) {
-        duties_.hear(*usage);
+        duties_.handleReport(*usage);
     } else {
         callbacks_.onEvent(std::get<passthrough::CrashesReported>(message));
     }
--- a/src/gateway/serverorders.cpp
+++ b/src/gateway/serverorders.cpp
@@ -40,15 +40,16 @@
     calls_ += 1;
     client_.fetch(adapter::makeServerOrder(caller, order), [this, order, token, neededServers, term = term_](const http::Result &result) {
         const auto outcome = adapter::dutyOutcomeOf(result);
-        callbacks_.onOrder(order, adapter::dutyOutcomeName(outcome), neededServers);
+        callbacks_.onOrderOutcome(order, adapter::dutyOutcomeName(outcome), neededServers);
         if (term == term_) {
-            take(order, token, outcome);
+            handleOutcome(order, token, outcome);
         }
     });
 }
 
-/// A declined order of preemptible servers means that there are none for now; any other one that another entry leads.
-auto ServerOrders::take(const ordering::Order &order, std::uint64_t token, DutyOutcome outcome) -> void
+/// The platform declines an order of preemptible servers if none are available for now. A declined order of on-demand servers means that
+/// another entry has become the leader.
+auto ServerOrders::handleOutcome(const ordering::Order &order, std::uint64_t token, DutyOutcome outcome) -> void
 {
     switch (outcome) {
     case DutyOutcome::Done:
--- a/src/gateway/serverorders.h
+++ b/src/gateway/serverorders.h
@@ -1,5 +1,5 @@
 /// \file
-/// Orders backend servers from the platform while this entry leads, as the ordering core plans.
+/// Sends the orders that the ordering core plans to the platform, while this entry is the leader.
 
 #pragma once
 
@@ -22,8 +22,10 @@
 };
 
 struct ServerOrdersCallbacks {
+    /// The platform declined an order with \p token, since a later term has started.
     std::function<void(std::uint64_t token)> onTokenRefused;
-    std::function<void(const ordering::Order &order, std::string_view outcome, double neededServers)> onOrder;
+    /// The platform answered \p order with \p outcome, or the call failed.
+    std::function<void(const ordering::Order &order, std::string_view outcome, double neededServers)> onOrderOutcome;
 };
 
 class ServerOrders
@@ -31,21 +33,23 @@
 public:
     ServerOrders(task::EventLoop &loop, ServerOrdersOptions options, ServerOrdersCallbacks callbacks);
 
+    /// Discards the state of the previous term; the outcomes of its orders are ignored from now on.
     auto beginTerm() -> void;
-    /// Orders what is due for this service.
+    /// Sends the orders that are due for the service of \p situation, with the fencing token \p token.
     auto update(const ordering::ServiceSituation &situation, std::uint64_t token) -> void;
 
+    /// Number of calls to the platform's interface.
     [[nodiscard]] auto calls() const -> std::uint64_t;
 
 private:
     auto send(const ordering::Order &order, std::uint64_t token, double neededServers) -> void;
-    auto take(const ordering::Order &order, std::uint64_t token, adapter::DutyOutcome outcome) -> void;
+    auto handleOutcome(const ordering::Order &order, std::uint64_t token, adapter::DutyOutcome outcome) -> void;
 
     ServerOrdersOptions options_;
     ServerOrdersCallbacks callbacks_;
     http::Client client_;
     ordering::State state_;
-    std::uint64_t term_ = 0; ///< answers to orders of an earlier one are dropped
+    std::uint64_t term_ = 0; ///< number of the term; outcomes of orders of an earlier term are ignored
     std::uint64_t calls_ = 0;
 };
 
--- a/src/gateway/tests/duties_tests.cpp
+++ b/src/gateway/tests/duties_tests.cpp
@@ -28,7 +28,7 @@
     DutyStandin duties{ loop };
 };
 
-/// One entry that may lead, with its share of the counts.
+/// An entry that may become the leader and reports its own usage counts.
 struct Candidate {
     Candidate(Platform &platform, const std::string &name)
         : election(platform.loop,
@@ -38,7 +38,7 @@
                        .onTermBegun = [this](std::uint64_t token) { usage.beginTerm(token); },
                        .onTermEnded =
                            [this](std::uint64_t /*token*/, leadership::TermEnd reason) {
-                               ended = reason;
+                               termEnd = reason;
                                usage.endTerm();
                            },
                        .onInvalid = [](std::string_view /*what*/, const std::string &detail) { ADD_FAILURE() << detail; },
@@ -52,8 +52,8 @@
                     .windows = { .windowLength = std::chrono::seconds(1) },
                 },
                 {
-                    .onTokenRefused = [this](std::uint64_t token) { election.noteTokenRefused(token); },
-                    .onWindow = [](usage::Window /*window*/, std::string_view /*outcome*/, std::uint64_t /*requests*/) {},
+                    .onTokenRefused = [this](std::uint64_t token) { election.handleTokenRefused(token); },
+                    .onWindowOutcome = [](usage::Window /*window*/, std::string_view /*outcome*/, std::uint64_t /*requests*/) {},
                     .onInvalid = [](std::string_view /*what*/, const std::string &detail) { ADD_FAILURE() << detail; },
                 })
     {
@@ -68,11 +68,11 @@
 
     Election election;
     UsageReports usage;
-    std::optional<leadership::TermEnd> ended;
+    std::optional<leadership::TermEnd> termEnd;
     task::Watch timer;
 };
 
-auto requestsOf(const DutyStandin &duties) -> std::uint64_t
+auto reportedRequests(const DutyStandin &duties) -> std::uint64_t
 {
     std::uint64_t sum = 0;
     for (const auto &[window, counts] : duties.usage()) {
@@ -83,20 +83,20 @@
 
 } // namespace
 
-TEST(DutyTests, theLeaderReportsWhatBeganToRun)
+TEST(DutyTests, theLeaderReportsStartedRequests)
 {
     Platform platform;
     Candidate entry(platform, "entry-1");
     entry.election.setEligible(true);
-    entry.usage.noteBegun("roofers", now());
-    entry.usage.noteBegun("roofers", now());
-    entry.usage.noteBegun("", now());
-    EXPECT_TRUE(runUntil(platform.loop, [&platform]() { return requestsOf(platform.duties) == 2; }));
+    entry.usage.recordStart("roofers", now());
+    entry.usage.recordStart("roofers", now());
+    entry.usage.recordStart("", now());
+    EXPECT_TRUE(runUntil(platform.loop, [&platform]() { return reportedRequests(platform.duties) == 2; }));
     EXPECT_EQ(platform.duties.conflicts(), 0U);
 }
 
-/// Guards against two entries that lead at the same time, and against a token that does not grow.
-TEST(DutyTests, anotherEntryLeadsWhenTheFirstLeaves)
+/// Guards against two leaders at the same time, and against a fencing token that does not increase from term to term.
+TEST(DutyTests, anotherEntryBecomesLeaderWhenTheFirstLeaves)
 {
     Platform platform;
     Candidate first(platform, "entry-1");
@@ -113,43 +113,44 @@
     EXPECT_FALSE(first.election.token());
 }
 
-/// Guards against a leader that goes on although another one has acted since.
-TEST(DutyTests, aLeaderWhoseTokenIsRefusedStops)
+/// Guards against a leader that continues after the platform has accepted calls with a higher fencing token.
+TEST(DutyTests, aLeaderWhoseTokenIsRefusedEndsItsTerm)
 {
     Platform platform;
     Candidate entry(platform, "entry-1");
     platform.duties.raiseToken(1'000'000);
     entry.election.setEligible(true);
-    entry.usage.noteBegun("roofers", now());
-    EXPECT_TRUE(runUntil(platform.loop, [&entry]() { return entry.ended == leadership::TermEnd::TokenRefused; }));
-    EXPECT_EQ(requestsOf(platform.duties), 0U);
+    entry.usage.recordStart("roofers", now());
+    EXPECT_TRUE(runUntil(platform.loop, [&entry]() { return entry.termEnd == leadership::TermEnd::TokenRefused; }));
+    EXPECT_EQ(reportedRequests(platform.duties), 0U);
 }
 
-/// Guards against usage that is lost because the platform's interface was away for a while.
-TEST(DutyTests, usageIsSentWhenThePlatformIsBack)
+/// Guards against the loss of usage counts while the platform's interface is unavailable.
+TEST(DutyTests, usageIsSentWhenThePlatformIsAvailableAgain)
 {
     Platform platform;
     Candidate entry(platform, "entry-1");
     platform.duties.setBusy(true);
     entry.election.setEligible(true);
-    entry.usage.noteBegun("roofers", now());
+    entry.usage.recordStart("roofers", now());
     ASSERT_TRUE(runUntil(platform.loop, [&entry]() { return entry.usage.calls() >= 4; }));
     platform.duties.setBusy(false);
-    EXPECT_TRUE(runUntil(platform.loop, [&platform]() { return requestsOf(platform.duties) == 1; }));
+    EXPECT_TRUE(runUntil(platform.loop, [&platform]() { return reportedRequests(platform.duties) == 1; }));
 }
 
-/// Guards against a leader that gives up its term because a failure domain has no preemptible servers to give.
-TEST(DutyTests, preemptibleServersThatAreNotToBeHadEndNoTerm)
+/// Guards against a leader that ends its term because a failure domain has no preemptible servers available.
+TEST(DutyTests, unavailablePreemptibleServersDoNotEndTheTerm)
 {
     Platform platform;
     auto refused = false;
     std::string outcome;
-    ServerOrders orders(platform.loop,
-                        { .api = platform.duties.address(), .entry = "entry-1" },
-                        {
-                            .onTokenRefused = [&refused](std::uint64_t /*token*/) { refused = true; },
-                            .onOrder = [&outcome](const ordering::Order & /*order*/, std::string_view told, double /*needed*/) { outcome = told; },
-                        });
+    ServerOrders orders(
+        platform.loop,
+        { .api = platform.duties.address(), .entry = "entry-1" },
+        {
+            .onTokenRefused = [&refused](std::uint64_t /*token*/) { refused = true; },
+            .onOrderOutcome = [&outcome](const ordering::Order & /*order*/, std::string_view reported, double /*needed*/) { outcome = reported; },
+        });
     platform.duties.setServersAvailable(false);
     orders.beginTerm();
     orders.update({ .service = "engines", .scaling = { .maxServers = 6, .preemptiblePrice = 0.2, .prices = { { "a", 1.0 } } } }, 17);
--- a/src/gateway/usagereports.cpp
+++ b/src/gateway/usagereports.cpp
@@ -18,7 +18,7 @@
 using adapter::StoreOutcome;
 using nlohmann::json;
 
-/// Where the counts of the latest windows are fixed.
+/// Key of the record that fixes the counts of the latest windows.
 constexpr std::string_view RecordKey = "auburnspread/counted";
 
 auto encodeRecord(const usage::Record &record) -> std::string
@@ -39,7 +39,7 @@
     return record;
 }
 
-auto sumOf(const usage::Counts &counts) -> std::uint64_t
+auto totalRequests(const usage::Counts &counts) -> std::uint64_t
 {
     std::uint64_t sum = 0;
     for (const auto &[workspace, count] : counts) {
@@ -58,25 +58,25 @@
 {
 }
 
-auto UsageReports::noteBegun(const std::string &workspace, TimePoint at) -> void
+auto UsageReports::recordStart(const std::string &workspace, TimePoint at) -> void
 {
     if (!workspace.empty()) {
-        usage::noteBegun(tally_, workspace, usage::windowAt(clock_.at(at), options_.windows.windowLength));
+        usage::recordStart(tally_, workspace, usage::windowAt(clock_.at(at), options_.windows.windowLength));
     }
 }
 
 auto UsageReports::makeReport() -> usage::Report
 {
     const auto current = usage::windowAt(clock_.at(now()), options_.windows.windowLength);
-    auto report = usage::makeReport(tally_, options_.entry, options_.incarnation, current, ++turn_);
-    hear(report);
-    usage::forgetSilent(state_.ledger, current);
+    auto report = usage::makeReport(tally_, options_.entry, options_.incarnation, current, ++reportNumber_);
+    handleReport(report);
+    usage::removeSilentEntries(state_.ledger, current);
     return report;
 }
 
-auto UsageReports::hear(const usage::Report &report) -> void
+auto UsageReports::handleReport(const usage::Report &report) -> void
 {
-    usage::noteReport(state_.ledger, report);
+    usage::applyReport(state_.ledger, report);
 }
 
 auto UsageReports::beginTerm(std::uint64_t token) -> void
@@ -102,17 +102,17 @@
 auto UsageReports::apply(const usage::Event &event) -> void
 {
     for (const auto &action : usage::step(state_, event, now())) {
-        std::visit([this](const auto &each) { run(each); }, action);
+        std::visit([this](const auto &each) { execute(each); }, action);
     }
 }
 
-auto UsageReports::run(const usage::ReadRecord &action) -> void
+auto UsageReports::execute(const usage::ReadRecord &action) -> void
 {
     calls_ += 1;
-    client_.fetch(adapter::makeRange(options_.store, RecordKey, ""), [this, call = action.call](const http::Result &result) { takeRecord(call, result); });
+    client_.fetch(adapter::makeRange(options_.store, RecordKey, ""), [this, call = action.call](const http::Result &result) { handleRecord(call, result); });
 }
 
-auto UsageReports::takeRecord(std::uint64_t call, const http::Result &result) -> void
+auto UsageReports::handleRecord(std::uint64_t call, const http::Result &result) -> void
 {
     const auto isDone = adapter::outcomeOf(result) == StoreOutcome::Done;
     const auto items = isDone ? adapter::decodeItems(std::get<http::Response>(result)) : std::nullopt;
@@ -136,7 +136,7 @@
     apply(read);
 }
 
-auto UsageReports::run(const usage::WriteRecord &action) -> void
+auto UsageReports::execute(const usage::WriteRecord &action) -> void
 {
     constexpr std::uint64_t NoLease = 0;
     const std::vector<adapter::StoreCondition> conditions{
@@ -156,17 +156,18 @@
     });
 }
 
-auto UsageReports::run(const usage::Send &action) -> void
+auto UsageReports::execute(const usage::Send &action) -> void
 {
     const adapter::DutyCaller caller{ .api = options_.api, .entry = options_.entry, .token = action.token };
     calls_ += 1;
-    client_.fetch(adapter::makeUsageReport(caller, action.window, action.counts), [this, action](const http::Result &result) { takeSent(action, result); });
+    client_.fetch(adapter::makeUsageReport(caller, action.window, action.counts),
+                  [this, action](const http::Result &result) { handleSendResult(action, result); });
 }
 
-auto UsageReports::takeSent(const usage::Send &action, const http::Result &result) -> void
+auto UsageReports::handleSendResult(const usage::Send &action, const http::Result &result) -> void
 {
     const auto outcome = adapter::dutyOutcomeOf(result);
-    callbacks_.onWindow(action.window, adapter::dutyOutcomeName(outcome), sumOf(action.counts));
+    callbacks_.onWindowOutcome(action.window, adapter::dutyOutcomeName(outcome), totalRequests(action.counts));
     if (outcome == DutyOutcome::Done) {
         apply(usage::Sent{ .window = action.window });
     } else {
@@ -177,10 +178,10 @@
     }
 }
 
-auto UsageReports::run(const usage::LeftOut &action) -> void
+auto UsageReports::execute(const usage::SkippedWindows &action) -> void
 {
     for (auto window = action.first; window <= action.last; ++window) {
-        callbacks_.onWindow(window, "left-out", 0);
+        callbacks_.onWindowOutcome(window, "left-out", 0);
     }
 }
 
