--- a/src/core/passthrough/peerreports.cpp
+++ b/src/core/passthrough/peerreports.cpp
@@ -309,7 +309,7 @@
 
 } // namespace
 
-auto makeSumReport(const ServerTable &table, const std::string &entry, ReportScope scope, TimePoint now) -> PeerReported
+auto makeAggregateReport(const ServerTable &table, const std::string &entry, ReportScope scope, TimePoint now) -> PeerReported
 {
     PeerReported report{ .entry = entry, .failureDomain = table.failureDomain, .scope = scope };
     for (const auto &[service, perSecond] : table.ownArrivalRates) {
--- a/src/core/passthrough/peerreports.h
+++ b/src/core/passthrough/peerreports.h
@@ -23,7 +23,7 @@
 /// Creates the report of this entry's own load.
 auto makeEntryReport(ServerTable &table, const std::string &entry, TimePoint now) -> PeerReported;
 /// Creates an aggregate of this entry's load and the current reports of its failure domain or of the whole fleet.
-auto makeSumReport(const ServerTable &table, const std::string &entry, ReportScope scope, TimePoint now) -> PeerReported;
+auto makeAggregateReport(const ServerTable &table, const std::string &entry, ReportScope scope, TimePoint now) -> PeerReported;
 /// Recomputes the peer load of all servers from the received reports, for example after the server list changed.
 auto rebuildPeerLoads(ServerTable &table) -> void;
 /// Requests per second for this service at the other entries, as reported.
--- a/src/core/passthrough/router.cpp
+++ b/src/core/passthrough/router.cpp
@@ -185,16 +185,16 @@
     state.options.outdatedTolerance = options.outdatedTolerance;
 }
 
-auto takeReport(RouterState &state) -> PeerReported
+auto makeEntryReport(RouterState &state) -> PeerReported
 {
     detail::updateWaitingTokens(state);
     detail::updateOwnArrivalRates(state);
     return makeEntryReport(state.servers, state.options.entry, state.now);
 }
 
-auto takeAggregateReport(const RouterState &state, ReportScope scope) -> PeerReported
+auto makeAggregateReport(const RouterState &state, ReportScope scope) -> PeerReported
 {
-    return makeSumReport(state.servers, state.options.entry, scope, state.now);
+    return makeAggregateReport(state.servers, state.options.entry, scope, state.now);
 }
 
 auto loadOfService(const RouterState &state, const std::string &service, TimePoint now) -> ServiceLoad
--- a/src/core/passthrough/router.h
+++ b/src/core/passthrough/router.h
@@ -41,9 +41,9 @@
 auto updateOptions(RouterState &state, const RouterOptions &options) -> void;
 
 /// Creates the load report of this entry for the other entries.
-auto takeReport(RouterState &state) -> PeerReported;
+auto makeEntryReport(RouterState &state) -> PeerReported;
 /// Creates an aggregate of the load reports that this entry received from its failure domain, or from all entries, with its own.
-auto takeAggregateReport(const RouterState &state, ReportScope scope) -> PeerReported;
+auto makeAggregateReport(const RouterState &state, ReportScope scope) -> PeerReported;
 
 /// Load of the servers of a service from all entries.
 struct ServiceLoad {
--- a/src/core/passthrough/tests/limitedfleet.cpp
+++ b/src/core/passthrough/tests/limitedfleet.cpp
@@ -294,7 +294,7 @@
             if (entries_[i].isDown) {
                 continue;
             }
-            const auto own = takeReport(*entries_[i].router);
+            const auto own = makeEntryReport(*entries_[i].router);
             if (entries_.size() > MostDirectPeers) {
                 deliver(i, hubOf(domainOf(i)), own);
                 continue;
@@ -321,11 +321,11 @@
         if (entries_[from].isDown) {
             return;
         }
-        const auto domainReport = takeAggregateReport(*entries_[from].router, ReportScope::FailureDomain);
+        const auto domainReport = makeAggregateReport(*entries_[from].router, ReportScope::FailureDomain);
         for (std::size_t other = 0; other < options_.failureDomains; ++other) {
             deliver(from, hubOf(other), domainReport);
         }
-        const auto fleetReport = takeAggregateReport(*entries_[from].router, ReportScope::Fleet);
+        const auto fleetReport = makeAggregateReport(*entries_[from].router, ReportScope::Fleet);
         for (auto to = domain; to < entries_.size(); to += options_.failureDomains) {
             deliver(from, to, fleetReport);
         }
--- a/src/core/passthrough/tests/manyservers_tests.cpp
+++ b/src/core/passthrough/tests/manyservers_tests.cpp
@@ -98,7 +98,7 @@
     }
     report.uses[3].ejectedFor = std::chrono::seconds(1);
     applyPeerReport(table, report, Now);
-    const auto sum = makeSumReport(table, "entry-1", ReportScope::Fleet, Now);
+    const auto sum = makeAggregateReport(table, "entry-1", ReportScope::Fleet, Now);
     EXPECT_EQ(sum.uses.size(), Most);
     const auto names = [&sum](const std::string &id) {
         return std::any_of(sum.uses.begin(), sum.uses.end(), [&id](const PeerReported::ServerUsage &use) { return use.server == id; });
--- a/src/core/passthrough/tests/overload_tests.cpp
+++ b/src/core/passthrough/tests/overload_tests.cpp
@@ -209,8 +209,8 @@
     EXPECT_EQ(fixture.estimatedInFlight(), 7U);
     applyPeerReport(fixture.table, makeAggregate(ReportScope::Entry, "a", 1, 3), fixture.now);
     EXPECT_EQ(fixture.estimatedInFlight(), 10U);
-    EXPECT_EQ(makeSumReport(fixture.table, "self", ReportScope::FailureDomain, fixture.now).uses.at(0).inFlight, 3U);
-    EXPECT_EQ(makeSumReport(fixture.table, "self", ReportScope::Fleet, fixture.now).entries, 15U);
+    EXPECT_EQ(makeAggregateReport(fixture.table, "self", ReportScope::FailureDomain, fixture.now).uses.at(0).inFlight, 3U);
+    EXPECT_EQ(makeAggregateReport(fixture.table, "self", ReportScope::Fleet, fixture.now).entries, 15U);
 }
 
 /// Guards against datagrams that grow until the links are full. A prompt part that one failure domain reported came back to it as that of
@@ -221,6 +221,6 @@
     auto sum = makeAggregate(ReportScope::FailureDomain, "b", 13, 7);
     sum.uses[0].sent = { { .id = 77, .tokens = 5000 } };
     applyPeerReport(fixture.table, sum, fixture.now);
-    EXPECT_TRUE(makeSumReport(fixture.table, "self", ReportScope::FailureDomain, fixture.now).uses.empty());
-    EXPECT_EQ(makeSumReport(fixture.table, "self", ReportScope::Fleet, fixture.now).uses.at(0).sent.size(), 1U);
+    EXPECT_TRUE(makeAggregateReport(fixture.table, "self", ReportScope::FailureDomain, fixture.now).uses.empty());
+    EXPECT_EQ(makeAggregateReport(fixture.table, "self", ReportScope::Fleet, fixture.now).uses.at(0).sent.size(), 1U);
 }
--- a/src/core/passthrough/tests/replay.cpp
+++ b/src/core/passthrough/tests/replay.cpp
@@ -498,7 +498,7 @@
         }
         const auto known = entriesKnownTo(entry);
         const auto &self = entries_.at(entry);
-        const auto ownReport = takeReport(*routers_.at(entry));
+        const auto ownReport = makeEntryReport(*routers_.at(entry));
         reportedAt_[entry] = now_;
         if (entries_.size() <= MaxDirectEntries) {
             sendDatagrams(known, self, ownReport);
@@ -515,7 +515,7 @@
         if (isFirst) {
             sendDatagrams(fleet::hubsOfOtherDomains(known, self, static_cast<std::size_t>(reportRound_)),
                           self,
-                          takeAggregateReport(*routers_.at(entry), ReportScope::FailureDomain));
+                          makeAggregateReport(*routers_.at(entry), ReportScope::FailureDomain));
         }
         std::vector<fleet::EntryRecord> members;
         std::int64_t number = 0;
@@ -524,7 +524,7 @@
                 members.push_back(each);
             }
         }
-        sendDatagrams(members, self, takeAggregateReport(*routers_.at(entry), ReportScope::Fleet));
+        sendDatagrams(members, self, makeAggregateReport(*routers_.at(entry), ReportScope::Fleet));
     }
 
     auto sendDatagrams(const std::vector<fleet::EntryRecord> &receivers, const fleet::EntryRecord &self, PeerReported report) -> void
--- a/src/gateway/loadreports.cpp
+++ b/src/gateway/loadreports.cpp
@@ -12,11 +12,12 @@
 namespace
 {
 
-/// With more peers than this, hubs sum up the reports. A sum of 60 servers takes about 1.6 KB.
+/// With more peers than this, hubs aggregate the reports. An aggregate of 60 servers takes about 1.6 KB.
 constexpr std::size_t MaxDirectPeers = 12;
-/// A hub sends its sum to each entry once in this many reports, so that with two hubs each entry receives one sum per report interval.
+/// A hub sends its aggregate to each entry once in this many reports, so that with two hubs each entry receives one aggregate per report
+/// interval.
 constexpr int ReportsPerSum = 2;
-/// With more servers than this, a sum contains only the busiest servers that fit and is sent less often, as each server gets fewer
+/// With more servers than this, an aggregate contains only the busiest servers that fit and is sent less often, as each server gets fewer
 /// requests. Failure without this limit: a hub of a hundred entries sends megabytes a second, more than the links carry.
 constexpr std::size_t ServersPerFrequentSum = 256;
 constexpr std::size_t MaxSlowdown = 8;
@@ -69,7 +70,7 @@
     earlyReportTimer_ = {};
     lastReportAt_ = now();
     chooseHubs();
-    const auto report = passthrough::takeReport(router_);
+    const auto report = passthrough::makeEntryReport(router_);
     const auto hasUse = !report.uses.empty();
     const auto isNews = std::exchange(hadUse_, hasUse) || hasUse;
     if (!isNews) {
@@ -96,8 +97,8 @@
 }
 
 /// Failure: an entry knows only a part of the fleet and sends its reports to an entry that is not a hub. Symptom: its requests are in no
-/// sum. An entry that receives such a report therefore relays it to the hubs. A sum of another failure domain is sent to one of the hubs,
-/// in turn, which relays it to the other one.
+/// aggregate. An entry that receives such a report therefore relays it to the hubs. An aggregate of another failure domain is sent to one
+/// of the hubs, in turn, which relays it to the other one.
 auto LoadReports::relay(const passthrough::PeerReported &report) -> void
 {
     const auto isForHubs = report.scope == passthrough::ReportScope::FailureDomain || (report.scope == passthrough::ReportScope::Entry && !isHub_);
@@ -109,7 +110,7 @@
     peers_.sendTo(hubAddresses_, relayed);
 }
 
-/// The hub of the first rank sends the failure domain's sum to other domains; the other hub takes over when the first one is silent.
+/// The hub of the first rank sends the failure domain's aggregate to other domains; the other hub takes over when the first one is silent.
 auto LoadReports::sendSums() -> void
 {
     if (!isHub_) {
@@ -118,9 +119,9 @@
     sumTurn_ = (sumTurn_ + 1) % reportsPerSum();
     if (isFirstHub_) {
         const auto others = fleet::hubsOfOtherDomains(known_.entries, self_, static_cast<std::size_t>(sumTurn_ % ReportsPerSum));
-        peers_.sendTo(peerAddresses(others, self_), passthrough::takeAggregateReport(router_, passthrough::ReportScope::FailureDomain));
+        peers_.sendTo(peerAddresses(others, self_), passthrough::makeAggregateReport(router_, passthrough::ReportScope::FailureDomain));
     }
-    peers_.sendTo(nextSumRecipients(), passthrough::takeAggregateReport(router_, passthrough::ReportScope::Fleet));
+    peers_.sendTo(nextSumRecipients(), passthrough::makeAggregateReport(router_, passthrough::ReportScope::Fleet));
 }
 
 auto LoadReports::reportsPerSum() const -> int
@@ -129,7 +130,7 @@
     return ReportsPerSum * static_cast<int>(std::clamp<std::size_t>(slowdown, 1, MaxSlowdown));
 }
 
-/// Members of the failure domain that receive the next sum.
+/// Members of the failure domain that receive the next aggregate.
 auto LoadReports::nextSumRecipients() const -> std::vector<std::string>
 {
     std::vector<std::string> addresses;
--- a/src/gateway/loadreports.h
+++ b/src/gateway/loadreports.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reports this entry's in-flight requests to the other entries and, as a hub, the sums of many entries. In a small fleet each entry
+/// Reports this entry's in-flight requests to the other entries and, as a hub, the aggregates of many entries. In a small fleet each entry
 /// reports to every other one; for large fleets see hubs.h.
 
 #pragma once
@@ -50,7 +50,7 @@
     bool isFirstHub_ = false; ///< this entry has the first rank among the hubs
     bool hadUse_ = false;     ///< the last report contained in-flight requests
     [[nodiscard]] auto reportsPerSum() const -> int;
-    int sumTurn_ = 0; ///< which subset of the entries receives the sum next
+    int sumTurn_ = 0; ///< which subset of the entries receives the aggregate next
     TimePoint lastReportAt_;
     bool isEarlyReportScheduled_ = false;
     task::Watch reportTimer_;
--- a/src/gateway/tests/messages_tests.cpp
+++ b/src/gateway/tests/messages_tests.cpp
@@ -44,7 +44,7 @@
     EXPECT_FALSE(read.uses[2].limit);
 }
 
-/// Guards against a sum that exceeds the size of a datagram and is therefore lost as a whole.
+/// Guards against an aggregate that exceeds the size of a datagram and is therefore lost as a whole.
 TEST(PeerMessageTests, aSumOfServersThatAllHaveALimitFitsIntoADatagram)
 {
     constexpr auto Servers = 1000;
@@ -59,7 +59,7 @@
         passthrough::recordSend(table, *server, { .unreadTokens = 70'000, .heldTokens = 70'000, .isShort = true }, Duration::zero(), now);
         passthrough::recordLimitStatement(table, *server, 1.4, now, now);
     }
-    const auto sum = passthrough::makeSumReport(table, "entry-with-a-long-name", passthrough::ReportScope::Fleet, now + std::chrono::seconds(70));
+    const auto sum = passthrough::makeAggregateReport(table, "entry-with-a-long-name", passthrough::ReportScope::Fleet, now + std::chrono::seconds(70));
     EXPECT_LE(encodePeerMessage(sum).size(), 8192U);
     EXPECT_GE(sum.uses.size(), 100U);
 }
