--- a/src/core/passthrough/peerreports.cpp
+++ b/src/core/passthrough/peerreports.cpp
@@ -55,7 +55,7 @@
 /// reports.
 constexpr double MinEntryShare = 0.95;
 /// A previous aggregate older than this is replaced in any case, since the missing entries may have stopped.
-constexpr Duration MaxSumAge = std::chrono::milliseconds(350);
+constexpr Duration MaxAggregateAge = std::chrono::milliseconds(350);
 
 /// Whether a new aggregate replaces the previous one.
 ///
@@ -63,7 +63,7 @@
 /// nearly idle and get three times the load that they can handle.
 auto replaces(const PeerReported &sum, const ServerTable::ReceivedReport &previous, TimePoint now) -> bool
 {
-    return sum.entries >= MinEntryShare * previous.report.entries || now - previous.receivedAt > MaxSumAge;
+    return sum.entries >= MinEntryShare * previous.report.entries || now - previous.receivedAt > MaxAggregateAge;
 }
 
 /// Whether the load of this report is not already covered by the aggregate of the reporting entry's failure domain.
@@ -171,7 +171,7 @@
 }
 
 /// Number of servers in an aggregate, chosen so that it fits into one datagram. A server with a rate limit takes half as much space again.
-constexpr std::size_t MaxSummedServers = 200;
+constexpr std::size_t MaxAggregatedServers = 200;
 
 /// Drops the servers with the least load until the aggregate fits into a datagram; receivers take these for idle, which is nearly true.
 ///
@@ -181,7 +181,7 @@
 {
     const auto limited
         = static_cast<std::size_t>(std::count_if(uses.begin(), uses.end(), [](const PeerReported::ServerUsage &use) { return use.limit.has_value(); }));
-    const auto kept = std::max(MaxSummedServers - std::min(limited / 2, MaxSummedServers), MaxSummedServers * 2 / 3);
+    const auto kept = std::max(MaxAggregatedServers - std::min(limited / 2, MaxAggregatedServers), MaxAggregatedServers * 2 / 3);
     if (uses.size() <= kept) {
         return;
     }
@@ -385,7 +385,7 @@
     }
 }
 
-auto applyDomainSum(ServerTable &table, const PeerReported &report, TimePoint now) -> void
+auto applyDomainAggregate(ServerTable &table, const PeerReported &report, TimePoint now) -> void
 {
     if (report.failureDomain == table.failureDomain) {
         return;
@@ -411,7 +411,7 @@
         applyEntryReport(table, report, now);
         break;
     case ReportScope::FailureDomain:
-        applyDomainSum(table, report, now);
+        applyDomainAggregate(table, report, now);
         break;
     case ReportScope::Fleet:
         if (!table.fleetReport || replaces(report, *table.fleetReport, now)) {
--- a/src/core/passthrough/tests/replay.cpp
+++ b/src/core/passthrough/tests/replay.cpp
@@ -55,7 +55,7 @@
 constexpr std::uint32_t ShortAnswerTokens = 294;
 constexpr std::uint64_t Documents = 4;
 constexpr std::size_t MaxDirectEntries = 13; ///< larger fleets send their reports through hubs
-constexpr std::int64_t ReportsPerSum = 2;
+constexpr std::int64_t ReportsPerAggregate = 2;
 constexpr Duration EstimateInterval = std::chrono::milliseconds(500);
 
 using detail::toDuration;
@@ -487,7 +487,7 @@
         const auto &hubs = chosenHubs_[entry];
         const auto own = std::find(hubs.begin(), hubs.end(), entries_.at(entry));
         if (own != hubs.end() && !isStopped(entry)) {
-            sendSums(entry, entriesKnownTo(entry), own == hubs.begin());
+            sendAggregates(entry, entriesKnownTo(entry), own == hubs.begin());
         }
     }
 
@@ -509,7 +509,7 @@
         sendDatagrams(hubs, self, ownReport);
     }
 
-    auto sendSums(std::size_t entry, const std::vector<fleet::EntryRecord> &known, bool isFirst) -> void
+    auto sendAggregates(std::size_t entry, const std::vector<fleet::EntryRecord> &known, bool isFirst) -> void
     {
         const auto &self = entries_.at(entry);
         if (isFirst) {
@@ -520,7 +520,7 @@
         std::vector<fleet::EntryRecord> members;
         std::int64_t number = 0;
         for (const auto &each : known) {
-            if (each.failureDomain == self.failureDomain && (number++ + (isFirst ? 0 : 1)) % ReportsPerSum == reportRound_ % ReportsPerSum) {
+            if (each.failureDomain == self.failureDomain && (number++ + (isFirst ? 0 : 1)) % ReportsPerAggregate == reportRound_ % ReportsPerAggregate) {
                 members.push_back(each);
             }
         }
--- a/src/gateway/election.cpp
+++ b/src/gateway/election.cpp
@@ -176,7 +176,7 @@
 {
     const auto items = adapter::decodeItems(response);
     if (!items) {
-        callbacks_.onInvalid("leader", "cannot decode the response of the store");
+        callbacks_.onInvalid("leader", "response of the store cannot be decoded");
         handleFailure(call, CallFailure::Unknown);
         return;
     }
--- a/src/gateway/loadreports.cpp
+++ b/src/gateway/loadreports.cpp
@@ -16,10 +16,10 @@
 constexpr std::size_t MaxDirectPeers = 12;
 /// A hub sends its aggregate to each entry once in this many reports, so that with two hubs each entry receives one aggregate per report
 /// interval.
-constexpr int ReportsPerSum = 2;
+constexpr int ReportsPerAggregate = 2;
 /// With more servers than this, an aggregate contains only the busiest servers that fit and is sent less often, as each server gets fewer
 /// requests. Failure without this limit: a hub of a hundred entries sends megabytes a second, more than the links carry.
-constexpr std::size_t ServersPerFrequentSum = 256;
+constexpr std::size_t ServersPerFrequentAggregate = 256;
 constexpr std::size_t MaxSlowdown = 8;
 /// Dispatches within this time are combined in one report.
 constexpr Duration BatchWindow = std::chrono::milliseconds(2);
@@ -39,7 +39,7 @@
 {
     reportTimer_ = loop_.every(passthrough::ReportInterval, [this]() {
         sendReport();
-        sendSums();
+        sendAggregates();
     });
 }
 
@@ -111,33 +111,33 @@
 }
 
 /// The hub of the first rank sends the failure domain's aggregate to other domains; the other hub takes over when the first one is silent.
-auto LoadReports::sendSums() -> void
+auto LoadReports::sendAggregates() -> void
 {
     if (!isHub_) {
         return;
     }
-    sumTurn_ = (sumTurn_ + 1) % reportsPerSum();
+    aggregateTurn_ = (aggregateTurn_ + 1) % reportsPerAggregate();
     if (isFirstHub_) {
-        const auto others = fleet::hubsOfOtherDomains(known_.entries, self_, static_cast<std::size_t>(sumTurn_ % ReportsPerSum));
+        const auto others = fleet::hubsOfOtherDomains(known_.entries, self_, static_cast<std::size_t>(aggregateTurn_ % ReportsPerAggregate));
         peers_.sendTo(peerAddresses(others, self_), passthrough::makeAggregateReport(router_, passthrough::ReportScope::FailureDomain));
     }
-    peers_.sendTo(nextSumRecipients(), passthrough::makeAggregateReport(router_, passthrough::ReportScope::Fleet));
+    peers_.sendTo(nextAggregateRecipients(), passthrough::makeAggregateReport(router_, passthrough::ReportScope::Fleet));
 }
 
-auto LoadReports::reportsPerSum() const -> int
+auto LoadReports::reportsPerAggregate() const -> int
 {
-    const auto slowdown = (known_.servers.size() + ServersPerFrequentSum - 1) / ServersPerFrequentSum;
-    return ReportsPerSum * static_cast<int>(std::clamp<std::size_t>(slowdown, 1, MaxSlowdown));
+    const auto slowdown = (known_.servers.size() + ServersPerFrequentAggregate - 1) / ServersPerFrequentAggregate;
+    return ReportsPerAggregate * static_cast<int>(std::clamp<std::size_t>(slowdown, 1, MaxSlowdown));
 }
 
 /// Members of the failure domain that receive the next aggregate.
-auto LoadReports::nextSumRecipients() const -> std::vector<std::string>
+auto LoadReports::nextAggregateRecipients() const -> std::vector<std::string>
 {
     std::vector<std::string> addresses;
     auto number = 0;
     for (const auto &entry : known_.entries) {
         const auto isMember = entry.failureDomain == self_.failureDomain && entry.name != self_.name;
-        if (isMember && number++ % reportsPerSum() == sumTurn_) {
+        if (isMember && number++ % reportsPerAggregate() == aggregateTurn_) {
             addresses.push_back(entry.peerAddress);
         }
     }
--- a/src/gateway/loadreports.h
+++ b/src/gateway/loadreports.h
@@ -35,8 +35,8 @@
     auto sendReport() -> void;
     auto chooseHubs() -> void;
     auto relay(const passthrough::PeerReported &report) -> void;
-    auto sendSums() -> void;
-    [[nodiscard]] auto nextSumRecipients() const -> std::vector<std::string>;
+    auto sendAggregates() -> void;
+    [[nodiscard]] auto nextAggregateRecipients() const -> std::vector<std::string>;
 
     task::EventLoop &loop_;
     passthrough::RouterState &router_;
@@ -49,8 +49,8 @@
     bool isHub_ = false;
     bool isFirstHub_ = false; ///< this entry has the first rank among the hubs
     bool hadUse_ = false;     ///< the last report contained in-flight requests
-    [[nodiscard]] auto reportsPerSum() const -> int;
-    int sumTurn_ = 0; ///< which subset of the entries receives the aggregate next
+    [[nodiscard]] auto reportsPerAggregate() const -> int;
+    int aggregateTurn_ = 0; ///< which subset of the entries receives the aggregate next
     TimePoint lastReportAt_;
     bool isEarlyReportScheduled_ = false;
     task::Watch reportTimer_;
